--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -139,7 +139,7 @@
 	for _, o := range v.play.vms {
 		gone := (o.dead || o.frozen || o.losesSent || v.losesReceived) && v.play.now-o.diedAt > buried
 		if o != v && !gone {
-			all = append(all, allocator.Member{VM: o.name, Address: address(o.index), Zone: "z", Power: 1})
+			all = append(all, allocator.Member{VM: o.name, Address: address(o.index), Zone: "z", Cores: 1})
 		}
 	}
 	return all
@@ -171,10 +171,10 @@
 
 // start begins a run of a VM's process.
 func (p *play) start(v *vm) {
-	v.allocator = allocator.New(allocator.Member{VM: v.name, Zone: "z", Power: 1}, p.clock().UnixNano(), allocator.Deps{
+	v.allocator = allocator.New(allocator.Member{VM: v.name, Zone: "z", Cores: 1}, p.clock().UnixNano(), allocator.Deps{
 		Tracker: p.tracker, Sender: v, Timer: v, Meter: v, Members: v.members,
-		Service:  func(string) (*matcher.Service, bool) { return p.service, true },
-		ColdPart: func(string, float64, bool) int { return 0 }, Now: p.clock, Log: zerolog.Nop(),
+		Service:        func(string) (*matcher.Service, bool) { return p.service, true },
+		ColdStartQuota: func(string, float64, bool) int { return 0 }, Now: p.clock, Log: zerolog.Nop(),
 	})
 }
 
@@ -272,7 +272,7 @@
 		r.gone = true
 		return
 	}
-	r.asked = p.vms[r.vm].allocator.Ask(scheduler.Call{Service: p.service, Ask: placer.Ask{
+	r.asked = p.vms[r.vm].allocator.Submit(scheduler.Call{Service: p.service, Ask: placer.Ask{
 		Prompt: r.prompt, Output: k.Bound, Pause: float64(k.Pause.Milliseconds()), Arrived: at(r.at),
 		Objective: at(r.at).Add(k.Objective), Deadline: at(r.at).Add(k.Limit), Leaves: at(r.leaves()),
 	}})
@@ -301,13 +301,13 @@
 	}
 	if r.fresh && !r.gone {
 		r.fresh = false
-		r.grant.Began()
+		r.grant.MarkStarted()
 		e := p.byName[r.grant.Upstream.ID]
 		r.context = r.prompt
 		e.writing = append(e.writing, r)
 	}
 	if r.ended || r.gone {
-		r.grant.Done()
+		r.grant.Release()
 		return false
 	}
 	return true
@@ -315,9 +315,9 @@
 
 // place takes a place that was given. It says whether there is one.
 func (p *play) place(r *request) bool {
-	g, refusal := r.asked.Reply()
+	g, refusal := r.asked.Poll()
 	if refusal == nil && g == nil && p.now > r.leaves() {
-		r.refused = r.asked.Leave() != nil
+		r.refused = r.asked.Cancel() != nil
 		return false
 	}
 	if g == nil {
--- a/bench/emulator/fault.go
+++ b/bench/emulator/fault.go
@@ -75,7 +75,7 @@
 	var found []*vm
 	for range n {
 		for _, v := range p.vms {
-			if !v.dead && v.allocator.Leads() > 0 && !slices.Contains(found, v) {
+			if !v.dead && v.allocator.LedGroups() > 0 && !slices.Contains(found, v) {
 				found = append(found, v)
 				break
 			}
--- a/bench/emulator/request.go
+++ b/bench/emulator/request.go
@@ -16,8 +16,8 @@
 	// left is the answer's tokens that are still to come.
 	left int
 
-	asked *allocator.Asked
-	grant *allocator.Place
+	asked *allocator.Pending
+	grant *allocator.Placement
 	// part is the reading time of each part, unread how many are not read.
 	part    float64
 	unread  int
--- a/entry/process/allocator/allocator.go
+++ b/entry/process/allocator/allocator.go
@@ -34,10 +34,10 @@
 )
 
 const (
-	// TickEvery is how often a VM does what is due while something waits, and
+	// TickInterval is how often a VM does what is due while something waits, and
 	// restEvery while nothing does: each one wakes the process.
-	TickEvery = 25 * time.Millisecond
-	restEvery = 250 * time.Millisecond
+	TickInterval = 25 * time.Millisecond
+	restEvery    = 250 * time.Millisecond
 	// paused is the time between two ticks above which the process counts as paused.
 	paused = 2 * restEvery
 )
@@ -65,17 +65,17 @@
 	Meter   Meter
 	// Members are the other VMs that live.
 	Members func() []Member
-	// Fleet is how many VMs there may be, this one and those included that are not
+	// FleetSize is how many VMs there may be, this one and those included that are not
 	// heard at present.
-	Fleet func() int
+	FleetSize func() int
 	// Service finds a service in the configuration.
 	Service func(name string) (*matcher.Service, bool)
-	// ColdPart is how many requests a second may be placed at an upstream in
+	// ColdStartQuota is how many requests a second may be placed at an upstream in
 	// cold start that bears so many: by whoever leads its group, or by this VM
 	// alone.
-	ColdPart func(upstream string, rate float64, leads bool) int
-	Now      func() time.Time
-	Log      zerolog.Logger
+	ColdStartQuota func(upstream string, rate float64, leads bool) int
+	Now            func() time.Time
+	Log            zerolog.Logger
 }
 
 // An Allocator is one VM's side: it asks for this VM's requests, and leads the
@@ -101,7 +101,7 @@
 	// asks and places are this VM's own, by the id that it gave them.
 	last   uint64
 	asks   map[uint64]*ask
-	places map[uint64]*Place
+	places map[uint64]*Placement
 	// keptAt is when leaders were last told of all places, and reported how often
 	// each of them will be told again where there is no place any more.
 	keptAt   time.Time
@@ -130,7 +130,7 @@
 	a := &Allocator{
 		me: me, boot: boot, deps: d, began: d.Now(), ticked: d.Now(),
 		suspects: make(map[netip.AddrPort]suspicion), leaders: make(map[Group]choice), split: make(map[string]bool),
-		asks: make(map[uint64]*ask), places: make(map[uint64]*Place), reported: make(map[netip.AddrPort]int),
+		asks: make(map[uint64]*ask), places: make(map[uint64]*Placement), reported: make(map[netip.AddrPort]int),
 		led: make(map[Group]*led), holders: make(map[netip.AddrPort]*holder), summaries: make(map[Group]*summary),
 		out: make(map[netip.AddrPort]*message), deputies: make(map[Group]map[netip.AddrPort]time.Time),
 	}
@@ -158,7 +158,7 @@
 	switch {
 	case busy && a.rest == nil:
 		a.ticked = now
-		a.rest = a.deps.Timer.Subscribe(TickEvery, a.Tick)
+		a.rest = a.deps.Timer.Subscribe(TickInterval, a.Tick)
 	case !busy && a.rest != nil:
 		a.rest()
 		a.rest = nil
@@ -202,7 +202,7 @@
 	}
 	a.deps.Meter.Count("exchange.sent", 1)
 	a.deps.Meter.Count("exchange.bytes", int64(len(data)+1))
-	if err := a.deps.Sender.Send(at, append([]byte{Mark}, data...)); err != nil {
+	if err := a.deps.Sender.Send(at, append([]byte{DatagramType}, data...)); err != nil {
 		a.deps.Log.Debug().Str("peer", at.String()).Err(err).Msg("datagram not sent")
 	}
 }
@@ -212,7 +212,7 @@
 // Receive takes a datagram in. What does not come from the VM that lives at its
 // address changes nothing.
 func (a *Allocator) Receive(from netip.AddrPort, data []byte) {
-	if len(data) < 1 || data[0] != Mark {
+	if len(data) < 1 || data[0] != DatagramType {
 		return
 	}
 	var m message
@@ -261,9 +261,9 @@
 	})
 }
 
-// Pump has this VM look for places for what waits for it as a leader. It is
+// Dispatch has this VM look for places for what waits for it as a leader. It is
 // called when what is known of upstreams has changed.
-func (a *Allocator) Pump() { a.do(func(time.Time) { a.pump() }) }
+func (a *Allocator) Dispatch() { a.do(func(time.Time) { a.pump() }) }
 
 func (a *Allocator) pump() {
 	for _, l := range a.led {
@@ -293,9 +293,9 @@
 	})
 }
 
-// Leave says that this VM stops at a time. It leads nobody any more, and its own
+// Drain says that this VM stops at a time. It leads nobody any more, and its own
 // requests that cannot end before are refused while they can go elsewhere.
-func (a *Allocator) Leave(stop time.Time) {
+func (a *Allocator) Drain(stop time.Time) {
 	a.do(func(now time.Time) {
 		a.leaving, a.stop = true, stop
 		a.hand(now)
@@ -317,8 +317,8 @@
 	return len(a.asks)
 }
 
-// Leads is how many groups this VM leads.
-func (a *Allocator) Leads() int {
+// LedGroups is how many groups this VM leads.
+func (a *Allocator) LedGroups() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
@@ -339,8 +339,8 @@
 	}
 }
 
-// Work is what is under way at each upstream, as far as this VM knows as a leader.
-func (a *Allocator) Work() map[string]placer.Load {
+// Loads is what is under way at each upstream, as far as this VM knows as a leader.
+func (a *Allocator) Loads() map[string]placer.Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	all := make(map[string]placer.Load)
@@ -400,7 +400,7 @@
 				if a.deps.Now().Before(l.coldFrom) {
 					return 0
 				}
-				return a.deps.ColdPart(upstream, rate, !l.alone)
+				return a.deps.ColdStartQuota(upstream, rate, !l.alone)
 			},
 			LimitPart: func(rate float64) float64 { return a.limitPart(l, rate) },
 		})
--- a/entry/process/allocator/allocator_test.go
+++ b/entry/process/allocator/allocator_test.go
@@ -18,18 +18,18 @@
 func TestOneSlotGoesToOneVM(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 1)
 	first := n.place(1, soon)
-	a, b := n.vms[1].Ask(n.call()), n.vms[2].Ask(n.call())
+	a, b := n.vms[1].Submit(n.call()), n.vms[2].Submit(n.call())
 	n.run(500 * time.Millisecond)
-	pa, _ := a.Reply()
-	pb, _ := b.Reply()
+	pa, _ := a.Poll()
+	pb, _ := b.Poll()
 	assert.Assert(t, (pa == nil) != (pb == nil), "one has it and one waits")
 	assert.Equal(t, n.vms[0].streams(), 2)
-	first.Done()
+	first.Release()
 	n.run(10 * time.Millisecond)
 	if pa == nil {
-		pa, _ = a.Reply()
+		pa, _ = a.Poll()
 	} else {
-		pb, _ = b.Reply()
+		pb, _ = b.Poll()
 	}
 	assert.Assert(t, pa != nil && pb != nil, "the other has it when it is free")
 	for _, v := range n.vms[1:] {
@@ -50,9 +50,9 @@
 	assert.Assert(t, p.Upstream.ID != "")
 	assert.Equal(t, n.vms[1].streams(), 4, "its own place, the others' and the new one")
 	t.Logf("placed after %v", n.now.Sub(began))
-	waits := n.vms[3].Ask(n.call())
+	waits := n.vms[3].Submit(n.call())
 	n.run(300 * time.Millisecond)
-	got, _ := waits.Reply()
+	got, _ := waits.Poll()
 	assert.Assert(t, got == nil, "all four slots are taken")
 }
 
@@ -69,7 +69,7 @@
 	assert.Equal(t, p.Leader, "vm1")
 	n.run(2 * time.Second)
 	assert.Assert(t, n.vms[0].streams() <= 1, "what it counts is what VMs have")
-	p.Done()
+	p.Release()
 	n.run(2 * time.Second)
 	for _, v := range n.vms {
 		assert.Equal(t, v.streams(), 0)
@@ -122,12 +122,12 @@
 		n.vms[v].dead = true
 	}
 	n.sent = 0
-	var waiting []*allocator.Asked
+	var waiting []*allocator.Pending
 	for _, v := range n.vms[3:] {
-		waiting = append(waiting, v.Ask(n.call()))
+		waiting = append(waiting, v.Submit(n.call()))
 	}
 	n.run(time.Second)
-	open := map[*allocator.Place]bool{}
+	open := map[*allocator.Placement]bool{}
 	assert.Equal(t, len(settle(waiting, open)), 0)
 	assert.Assert(t, n.sent < 30*vms, "%d datagrams", n.sent)
 }
@@ -138,15 +138,15 @@
 	n := newNetwork(t, []string{"z", "z", "z"}, 1)
 	first := n.place(1, soon)
 	n.place(2, soon)
-	waits := n.vms[2].Ask(n.call())
+	waits := n.vms[2].Submit(n.call())
 	n.run(20 * time.Millisecond)
-	n.vms[0].Leave(n.now.Add(8 * time.Second))
+	n.vms[0].Drain(n.now.Add(8 * time.Second))
 	n.vms[0].member.Leaving = true
 	n.run(100 * time.Millisecond)
 	assert.Equal(t, n.vms[1].streams(), 2)
-	first.Done()
+	first.Release()
 	n.run(10 * time.Millisecond)
-	p, _ := waits.Reply()
+	p, _ := waits.Poll()
 	assert.Assert(t, p != nil)
 	assert.Equal(t, p.Leader, "vm1")
 }
@@ -157,11 +157,11 @@
 	n := newNetwork(t, []string{"z", "z"}, 1)
 	n.place(1, soon)
 	n.place(1, soon)
-	waits := n.vms[1].Ask(n.call())
+	waits := n.vms[1].Submit(n.call())
 	n.run(100 * time.Millisecond)
-	n.vms[1].Leave(n.now.Add(150 * time.Millisecond))
+	n.vms[1].Drain(n.now.Add(150 * time.Millisecond))
 	n.run(150 * time.Millisecond)
-	_, refusal := waits.Reply()
+	_, refusal := waits.Poll()
 	assert.Assert(t, refusal != nil && refusal.Code == scheduler.Late, "%v", refusal)
 }
 
@@ -191,12 +191,12 @@
 func TestNewLeaderSparesColdUpstreams(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z"}, 1)
 	n.vms[0].tracker.TurnedCold(n.now, "u0", time.Minute)
-	waits := n.vms[1].Ask(n.call())
+	waits := n.vms[1].Submit(n.call())
 	n.run(time.Second)
-	p, _ := waits.Reply()
+	p, _ := waits.Poll()
 	assert.Assert(t, p == nil)
 	n.run(time.Second)
-	p, _ = waits.Reply()
+	p, _ = waits.Poll()
 	assert.Assert(t, p != nil)
 }
 
@@ -274,13 +274,13 @@
 		}
 	}
 	n.place(1, soon)
-	waits := n.vms[2].Ask(n.call())
+	waits := n.vms[2].Submit(n.call())
 	n.run(50 * time.Millisecond)
-	p, _ := waits.Reply()
+	p, _ := waits.Poll()
 	assert.Assert(t, p == nil, "nobody has told that there is room elsewhere")
 	n.blocked[[2]int{1, 0}] = false
 	n.run(400 * time.Millisecond)
-	p, _ = waits.Reply()
+	p, _ = waits.Poll()
 	assert.Assert(t, p != nil && p.Upstream.Zone == "b")
 	assert.Equal(t, n.place(2, soon).Upstream.Zone, "b")
 }
@@ -338,24 +338,24 @@
 		n := newNetwork(t, []string{"z", "z", "z"}, upstreams)
 		draw := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0))
 		n.spoil = spoiled(draw, rapid.Float64Range(0, 0.3).Draw(rt, "lost"))
-		var waiting []*allocator.Asked
-		open := map[*allocator.Place]bool{}
+		var waiting []*allocator.Pending
+		open := map[*allocator.Placement]bool{}
 		for range rapid.IntRange(10, 60).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 3).Draw(rt, "step") {
 			case 0, 1:
-				waiting = append(waiting, n.vms[1+draw.IntN(2)].Ask(n.call()))
+				waiting = append(waiting, n.vms[1+draw.IntN(2)].Submit(n.call()))
 			case 2:
 				for p := range open {
 					if draw.IntN(2) == 0 {
-						p.Began()
+						p.MarkStarted()
 					}
-					p.Done()
+					p.Release()
 					delete(open, p)
 					break
 				}
 			case 3:
 				if len(waiting) > 0 {
-					_ = waiting[0].Leave()
+					_ = waiting[0].Cancel()
 					waiting = waiting[1:]
 				}
 			}
@@ -369,10 +369,10 @@
 		}
 		n.spoil = nil
 		for _, o := range waiting {
-			_ = o.Leave()
+			_ = o.Cancel()
 		}
 		for p := range open {
-			p.Done()
+			p.Release()
 		}
 		n.run(2 * time.Second)
 		if left := n.vms[0].streams(); left != 0 {
@@ -385,10 +385,10 @@
 }
 
 // settle takes the answers that have come.
-func settle(waiting []*allocator.Asked, open map[*allocator.Place]bool) []*allocator.Asked {
+func settle(waiting []*allocator.Pending, open map[*allocator.Placement]bool) []*allocator.Pending {
 	still := waiting[:0]
 	for _, o := range waiting {
-		p, r := o.Reply()
+		p, r := o.Poll()
 		if p != nil {
 			open[p] = true
 		}
@@ -400,7 +400,7 @@
 }
 
 // most is how many places one upstream has.
-func most(open map[*allocator.Place]bool) int {
+func most(open map[*allocator.Placement]bool) int {
 	n, most := map[string]int{}, 0
 	for p := range open {
 		n[p.Upstream.ID]++
@@ -414,6 +414,6 @@
 	f.Add([]byte{0xa1, 0x01, 0x61, 0x78})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		n := newNetwork(t, []string{"z", "z"}, 1)
-		n.vms[0].Receive(address(1), append([]byte{allocator.Mark}, data...))
+		n.vms[0].Receive(address(1), append([]byte{allocator.DatagramType}, data...))
 	})
 }
--- a/entry/process/allocator/answer.go
+++ b/entry/process/allocator/answer.go
@@ -86,7 +86,7 @@
 		return
 	}
 	delete(a.asks, o.id)
-	p := &Place{
+	p := &Placement{
 		Upstream: a.upstream(w.Main), Estimate: float64(w.Estimate), Leader: vm, Waits: waitsOf(w.Waits), from: from,
 		Load: placer.Load{Streams: w.Streams, Context: w.Context, Unread: float64(w.Unread)},
 		work: scheduler.Work{
--- a/entry/process/allocator/asker.go
+++ b/entry/process/allocator/asker.go
@@ -23,7 +23,7 @@
 	silence  = 300 * time.Millisecond
 	// mostTick is the time between two ticks above which this VM itself was
 	// paused, and not the leaders.
-	mostTick = 3 * TickEvery
+	mostTick = 3 * TickInterval
 	// mostSilent is how many leaders may fail to answer before a VM decides
 	// alone, and mostSilentLong the same for a prompt that is read in parts: a
 	// place chosen without knowledge of the others' work harms many answers.
@@ -57,29 +57,29 @@
 }
 
 type answer struct {
-	place   *Place
+	place   *Placement
 	refusal *scheduler.Refusal
 }
 
 // Acquire waits for a place, or for the word that there will be none in time.
-func (a *Allocator) Acquire(ctx context.Context, c scheduler.Call) (*Place, *scheduler.Refusal) {
-	o := a.Ask(c)
+func (a *Allocator) Acquire(ctx context.Context, c scheduler.Call) (*Placement, *scheduler.Refusal) {
+	o := a.Submit(c)
 	select {
 	case r := <-o.ask.answer:
 		return r.place, r.refusal
 	case <-ctx.Done():
-		return nil, o.Leave()
+		return nil, o.Cancel()
 	}
 }
 
-// An Asked is a request for a place that may still wait.
-type Asked struct {
+// An Pending is a request for a place that may still wait.
+type Pending struct {
 	allocator *Allocator
 	ask       *ask
 }
 
-// Ask asks for a place without waiting for it.
-func (a *Allocator) Ask(c scheduler.Call) *Asked {
+// Submit asks for a place without waiting for it.
+func (a *Allocator) Submit(c scheduler.Call) *Pending {
 	o := &ask{call: c, answer: make(chan answer, 1)}
 	a.do(func(now time.Time) {
 		a.last++
@@ -90,11 +90,11 @@
 		a.asks[o.id] = o
 		a.send(now, o)
 	})
-	return &Asked{a, o}
+	return &Pending{a, o}
 }
 
-// Reply gives the place or the refusal, once, and neither while it waits.
-func (o *Asked) Reply() (*Place, *scheduler.Refusal) {
+// Poll gives the place or the refusal, once, and neither while it waits.
+func (o *Pending) Poll() (*Placement, *scheduler.Refusal) {
 	select {
 	case r := <-o.ask.answer:
 		return r.place, r.refusal
@@ -103,8 +103,8 @@
 	}
 }
 
-// Leave takes the request back: its caller has gone, or its time is over.
-func (o *Asked) Leave() *scheduler.Refusal {
+// Cancel takes the request back: its caller has gone, or its time is over.
+func (o *Pending) Cancel() *scheduler.Refusal {
 	a := o.allocator
 	refusal := &scheduler.Refusal{Code: scheduler.Late, After: comeBack}
 	a.do(func(now time.Time) {
@@ -118,7 +118,7 @@
 	case r := <-o.ask.answer:
 		// It was given a place in the moment it left.
 		if r.place != nil {
-			r.place.Done()
+			r.place.Release()
 		}
 	default:
 	}
@@ -192,7 +192,7 @@
 			o.answer <- answer{refusal: r}
 			return
 		}
-		a.give(now, o, &Place{
+		a.give(now, o, &Placement{
 			Upstream: g.Upstream.Upstream, Helpers: g.Helpers, Estimate: g.Estimate, Load: g.Load, Waits: g.Waits,
 			work: g.Work, grant: g,
 		})
@@ -220,7 +220,7 @@
 	a.send(now, o)
 }
 
-func (a *Allocator) give(now time.Time, o *ask, p *Place) {
+func (a *Allocator) give(now time.Time, o *ask, p *Placement) {
 	p.allocator, p.id, p.group = a, o.id, o.group
 	a.places[p.id] = p
 	for _, at := range a.countedBy(now, p.group) {
--- a/entry/process/allocator/bench_test.go
+++ b/entry/process/allocator/bench_test.go
@@ -29,21 +29,21 @@
 			var members []allocator.Member
 			for i := range vms - 1 {
 				at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1)
-				members = append(members, allocator.Member{VM: "vm" + strconv.Itoa(i), Address: at, Zone: "z", Power: 2})
+				members = append(members, allocator.Member{VM: "vm" + strconv.Itoa(i), Address: at, Zone: "z", Cores: 2})
 			}
 			service := &matcher.Service{Name: "s", Engine: engine}
 			known := tracker.New()
 			known.Put(n.now, tracker.Upstream{ID: "u", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 2})
-			a := allocator.New(allocator.Member{VM: "me", Zone: "z", Power: 1}, 1, allocator.Deps{
+			a := allocator.New(allocator.Member{VM: "me", Zone: "z", Cores: 1}, 1, allocator.Deps{
 				Tracker: known, Sender: nothing{}, Timer: nothing{}, Meter: nothing{},
-				Members:  func() []allocator.Member { return members },
-				Service:  func(string) (*matcher.Service, bool) { return service, true },
-				ColdPart: func(string, float64, bool) int { return 0 },
-				Now:      func() time.Time { return n.now }, Log: zerolog.Nop(),
+				Members:        func() []allocator.Member { return members },
+				Service:        func(string) (*matcher.Service, bool) { return service, true },
+				ColdStartQuota: func(string, float64, bool) int { return 0 },
+				Now:            func() time.Time { return n.now }, Log: zerolog.Nop(),
 			})
 			b.ReportAllocs()
 			for range b.N {
-				if a.Ask(n.call()).Leave() == nil {
+				if a.Submit(n.call()).Cancel() == nil {
 					b.Fatal("it had an answer")
 				}
 			}
--- a/entry/process/allocator/leader.go
+++ b/entry/process/allocator/leader.go
@@ -150,7 +150,7 @@
 }
 
 // adopt counts a place of this VM's own that another leader gave.
-func (a *Allocator) adopt(p *Place) {
+func (a *Allocator) adopt(p *Placement) {
 	if p.grant == nil {
 		p.grant = a.schedulerOf(p.group).scheduler.Adopt(p.work, p.began)
 	}
@@ -167,7 +167,7 @@
 	me, n := a.self(), 0
 	members := a.deps.Members()
 	for i := range members {
-		if !members[i].Leaving && members[i].Before(&me, g) {
+		if !members[i].Leaving && members[i].Outranks(&me, g) {
 			n++
 		}
 	}
--- a/entry/process/allocator/limit.go
+++ b/entry/process/allocator/limit.go
@@ -22,7 +22,7 @@
 // group.
 func (a *Allocator) limitPart(l *led, named float64) float64 {
 	heard := 1 + len(a.deps.Members())
-	all := max(heard, a.deps.Fleet())
+	all := max(heard, a.deps.FleetSize())
 	rate := budgeter.Limit(named) * min(1, sideShare*float64(heard)/float64(all))
 	switch {
 	case l.alone:
--- a/entry/process/allocator/limit_test.go
+++ b/entry/process/allocator/limit_test.go
@@ -40,13 +40,13 @@
 
 type asking struct {
 	vm    int
-	asked *allocator.Asked
+	asked *allocator.Pending
 }
 
 type sending struct {
 	vm    int
 	at    time.Time
-	place *allocator.Place
+	place *allocator.Placement
 	main  bool
 	ended bool
 }
@@ -100,7 +100,7 @@
 	for end := l.n.now.Add(d); l.n.now.Before(end); {
 		if draw.Float64() < perSecond*step.Seconds() {
 			if v := l.n.vms[draw.IntN(len(l.n.vms))]; !v.dead && !v.frozen {
-				l.asked = append(l.asked, asking{v.index, v.Ask(l.call())})
+				l.asked = append(l.asked, asking{v.index, v.Submit(l.call())})
 			}
 		}
 		l.n.run(step)
@@ -112,7 +112,7 @@
 func (l *limited) send() {
 	var waits []asking
 	for _, a := range l.asked {
-		p, r := a.asked.Reply()
+		p, r := a.asked.Poll()
 		switch {
 		case p == nil && r == nil:
 			waits = append(waits, a)
@@ -140,7 +140,7 @@
 			}
 			v.tracker.Limit("u0", word)
 		}
-		s.place.Done()
+		s.place.Release()
 	}
 }
 
--- a/entry/process/allocator/member.go
+++ b/entry/process/allocator/member.go
@@ -17,8 +17,8 @@
 	VM      string
 	Address netip.AddrPort
 	Zone    string
-	// Power is the part of a core that its machine gives it.
-	Power float64
+	// Cores is the part of a core that its machine gives it.
+	Cores float64
 	// Leaving says that it is about to stop.
 	Leaving bool
 }
@@ -30,11 +30,11 @@
 // first, then the strongest, then by hash, so that different groups are led by
 // different VMs and a VM that joins takes over few of them.
 func (m *Member) place(g Group) (near bool, power int, hash uint64) {
-	return g.Zone == "" || m.Zone == g.Zone, int(m.Power / powerUnit), xxhash.Sum64String(g.Service + "\x00" + g.Zone + "\x00" + m.VM)
+	return g.Zone == "" || m.Zone == g.Zone, int(m.Cores / powerUnit), xxhash.Sum64String(g.Service + "\x00" + g.Zone + "\x00" + m.VM)
 }
 
-// Before says that a member leads a group rather than another one.
-func (m *Member) Before(o *Member, g Group) bool {
+// Outranks says that a member leads a group rather than another one.
+func (m *Member) Outranks(o *Member, g Group) bool {
 	near, power, hash := m.place(g)
 	oNear, oPower, oHash := o.place(g)
 	if near != oNear {
@@ -103,7 +103,7 @@
 		if o.Leaving || now.Before(a.suspects[o.Address].until) {
 			continue
 		}
-		if best.Leaving || o.Before(&best, g) {
+		if best.Leaving || o.Outranks(&best, g) {
 			best, self = *o, false
 		}
 	}
@@ -111,7 +111,7 @@
 }
 
 func (a *Allocator) self() Member {
-	return Member{VM: a.me.VM, Zone: a.me.Zone, Power: a.me.Power, Leaving: a.leaving}
+	return Member{VM: a.me.VM, Zone: a.me.Zone, Cores: a.me.Cores, Leaving: a.leaving}
 }
 
 // suspect skips a member for a while.
--- a/entry/process/allocator/message.go
+++ b/entry/process/allocator/message.go
@@ -8,9 +8,9 @@
 	"github.com/heathervane/heathervane/entry/request/placer"
 )
 
-// Mark is the first byte of a datagram of this package, by which it is told from
+// DatagramType is the first byte of a datagram of this package, by which it is told from
 // others on the same socket. No CBOR map begins with it.
-const Mark = 'a'
+const DatagramType = 'a'
 
 // A message is one datagram. What a VM says that asks stands above what a leader
 // says; one datagram may hold both.
@@ -172,7 +172,7 @@
 	Tokens         []int
 }
 
-func (p *Place) wire() wirePlace {
+func (p *Placement) wire() wirePlace {
 	w := &p.work
 	return wirePlace{
 		ID: p.id, Group: p.group.wire(), Prompt: w.Prompt, Output: w.Output, Pause: float32(w.Pause), Read: float32(w.Read),
--- a/entry/process/allocator/network_test.go
+++ b/entry/process/allocator/network_test.go
@@ -103,7 +103,7 @@
 	for i, zone := range zones {
 		v := &vm{network: n, index: i, tracker: tracker.New(), unheard: map[int]bool{}, service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}}
 		// The first is the strongest, so that a test knows who leads.
-		v.member = allocator.Member{VM: "vm" + strconv.Itoa(i), Address: address(i), Zone: zone, Power: 2 - float64(i)/8}
+		v.member = allocator.Member{VM: "vm" + strconv.Itoa(i), Address: address(i), Zone: zone, Cores: 2 - float64(i)/8}
 		n.vms = append(n.vms, v)
 		n.start(v, 1)
 	}
@@ -124,9 +124,9 @@
 func (n *network) start(v *vm, boot int64) {
 	v.Allocator = allocator.New(v.member, boot, allocator.Deps{
 		Tracker: v.tracker, Sender: v, Timer: v, Meter: v, Members: v.members,
-		Fleet:   func() int { return len(n.vms) },
-		Service: func(string) (*matcher.Service, bool) { return v.service, true },
-		ColdPart: func(_ string, rate float64, leads bool) int {
+		FleetSize: func() int { return len(n.vms) },
+		Service:   func(string) (*matcher.Service, bool) { return v.service, true },
+		ColdStartQuota: func(_ string, rate float64, leads bool) int {
 			if leads {
 				return int(rate)
 			}
@@ -143,7 +143,7 @@
 		n.now = n.now.Add(step)
 		n.deliver()
 		for _, v := range n.vms {
-			if !v.dead && !v.frozen && n.now.UnixMilli()%allocator.TickEvery.Milliseconds() == int64(v.index)%allocator.TickEvery.Milliseconds() {
+			if !v.dead && !v.frozen && n.now.UnixMilli()%allocator.TickInterval.Milliseconds() == int64(v.index)%allocator.TickInterval.Milliseconds() {
 				v.Tick(n.now)
 			}
 		}
@@ -183,11 +183,11 @@
 }
 
 // place asks a VM for a place, which must come within a time.
-func (n *network) place(v int, within time.Duration) *allocator.Place {
+func (n *network) place(v int, within time.Duration) *allocator.Placement {
 	n.t.Helper()
-	o := n.vms[v].Ask(n.call())
+	o := n.vms[v].Submit(n.call())
 	for end := n.now.Add(within); ; n.run(time.Millisecond) {
-		if p, r := o.Reply(); p != nil || r != nil {
+		if p, r := o.Poll(); p != nil || r != nil {
 			assert.Assert(n.t, p != nil, "refused: %v", r)
 			return p
 		}
@@ -200,7 +200,7 @@
 // streams are what a VM counts at upstreams as a leader.
 func (v *vm) streams() int {
 	sum := 0
-	for _, l := range v.Work() {
+	for _, l := range v.Loads() {
 		sum += l.Streams
 	}
 	return sum
--- a/entry/process/allocator/place.go
+++ b/entry/process/allocator/place.go
@@ -10,8 +10,8 @@
 	"github.com/heathervane/heathervane/entry/request/placer"
 )
 
-// A Place is a place at upstreams.
-type Place struct {
+// A Placement is a place at upstreams.
+type Placement struct {
 	Upstream tracker.Upstream
 	Helpers  []scheduler.Helper
 	// Estimate is the estimated time to the first event in milliseconds, and
@@ -34,8 +34,8 @@
 	grant *scheduler.Grant
 }
 
-// Began notes that the first event came.
-func (p *Place) Began() {
+// MarkStarted notes that the first event came.
+func (p *Placement) MarkStarted() {
 	p.allocator.do(func(now time.Time) {
 		if p.began || p.ended {
 			return
@@ -48,8 +48,8 @@
 	})
 }
 
-// Done gives the place back. It may be called more than once.
-func (p *Place) Done() {
+// Release gives the place back. It may be called more than once.
+func (p *Placement) Release() {
 	p.allocator.do(func(now time.Time) {
 		if p.ended {
 			return
@@ -64,7 +64,7 @@
 }
 
 // report tells whoever counts the place: who gave it, and who leads now.
-func (p *Place) report(now time.Time, say func(*message)) {
+func (p *Placement) report(now time.Time, say func(*message)) {
 	if p.from.IsValid() {
 		say(p.allocator.to(p.from))
 	}
--- a/entry/process/allocator/replay_test.go
+++ b/entry/process/allocator/replay_test.go
@@ -15,8 +15,8 @@
 type visit struct {
 	n       *network
 	draw    *rand.Rand
-	waiting []*allocator.Asked
-	open    []*allocator.Place
+	waiting []*allocator.Pending
+	open    []*allocator.Placement
 }
 
 func newVisit(t testing.TB, seed uint64) *visit {
@@ -29,19 +29,19 @@
 func (v *visit) step() {
 	switch v.draw.IntN(4) {
 	case 0, 1:
-		v.waiting = append(v.waiting, v.n.vms[1+v.draw.IntN(2)].Ask(v.n.call()))
+		v.waiting = append(v.waiting, v.n.vms[1+v.draw.IntN(2)].Submit(v.n.call()))
 	case 2:
 		if len(v.open) > 0 {
 			i := v.draw.IntN(len(v.open))
 			if v.draw.IntN(2) == 0 {
-				v.open[i].Began()
+				v.open[i].MarkStarted()
 			}
-			v.open[i].Done()
+			v.open[i].Release()
 			v.open = append(v.open[:i], v.open[i+1:]...)
 		}
 	case 3:
 		if len(v.waiting) > 0 {
-			_ = v.waiting[0].Leave()
+			_ = v.waiting[0].Cancel()
 			v.waiting = v.waiting[1:]
 		}
 	}
@@ -52,9 +52,9 @@
 }
 
 func (v *visit) settle() {
-	var still []*allocator.Asked
+	var still []*allocator.Pending
 	for _, o := range v.waiting {
-		p, r := o.Reply()
+		p, r := o.Poll()
 		if p != nil {
 			v.open = append(v.open, p)
 		}
@@ -69,10 +69,10 @@
 func (v *visit) end() {
 	v.n.spoil = nil
 	for _, o := range v.waiting {
-		_ = o.Leave()
+		_ = o.Cancel()
 	}
 	for _, p := range v.open {
-		p.Done()
+		p.Release()
 	}
 }
 
--- a/entry/process/allocator/restart_test.go
+++ b/entry/process/allocator/restart_test.go
@@ -30,10 +30,10 @@
 func TestPlaceOfTheLastLeaderIsCountedByTheNext(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
 	n.vms[2].unheard[0] = true
-	o := n.vms[2].Ask(n.call())
+	o := n.vms[2].Submit(n.call())
 	n.vms[2].unheard[0] = false
 	n.run(answers)
-	p, _ := o.Reply()
+	p, _ := o.Poll()
 	assert.Assert(t, p != nil)
 	assert.Equal(t, p.Leader, "vm1")
 	assert.Equal(t, n.vms[0].streams(), 1)
@@ -44,11 +44,11 @@
 func TestLeaderThatStartsIsNotSkipped(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
 	n.vms[0].tracker.Outdate(true)
-	o := n.vms[1].Ask(n.call())
+	o := n.vms[1].Submit(n.call())
 	n.run(40 * time.Millisecond)
 	n.vms[0].tracker.Outdate(false)
 	n.run(40 * time.Millisecond)
-	p, _ := o.Reply()
+	p, _ := o.Poll()
 	assert.Assert(t, p != nil)
 	assert.Equal(t, p.Leader, "vm0")
 	assert.Assert(t, !n.passed)
@@ -68,7 +68,7 @@
 func TestReportThatComesAfterThePlacesEndIsNotCounted(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
 	n.vms[2].unheard[0] = true
-	o := n.vms[2].Ask(n.call())
+	o := n.vms[2].Submit(n.call())
 	n.vms[2].unheard[0] = false
 	late := true
 	n.spoil = func(d datagram) []datagram {
@@ -78,10 +78,10 @@
 		return []datagram{d}
 	}
 	n.run(answers)
-	p, _ := o.Reply()
+	p, _ := o.Poll()
 	assert.Assert(t, p != nil)
 	late = false
-	p.Done()
+	p.Release()
 	n.run(100 * time.Millisecond)
 	assert.Equal(t, n.vms[0].streams(), 0)
 }
@@ -98,7 +98,7 @@
 		}
 		return []datagram{d}
 	}
-	p.Done()
+	p.Release()
 	n.run(700 * time.Millisecond)
 	lost = false
 	n.run(600 * time.Millisecond)
--- a/entry/process/gossiper/gossiper.go
+++ b/entry/process/gossiper/gossiper.go
@@ -284,7 +284,7 @@
 
 func (g *Gossiper) message() message {
 	g.seq++
-	return message{VM: g.me.VM, Boot: g.boot, Seq: g.seq, Zone: g.me.Zone, Power: float32(g.me.Power), Leaving: g.me.Leaving}
+	return message{VM: g.me.VM, Boot: g.boot, Seq: g.seq, Zone: g.me.Zone, Power: float32(g.me.Cores), Leaving: g.me.Leaving}
 }
 
 // send sends a message to the peers that are chosen, rarely to those that have
--- a/entry/process/gossiper/gossiper_test.go
+++ b/entry/process/gossiper/gossiper_test.go
@@ -55,7 +55,7 @@
 	if !ok {
 		zone = "z"
 	}
-	return allocator.Member{VM: "vm" + string(rune('0'+i)), Address: address(i), Zone: zone, Power: 0.5}
+	return allocator.Member{VM: "vm" + string(rune('0'+i)), Address: address(i), Zone: zone, Cores: 0.5}
 }
 
 func (n *network) add(i byte, boot int64, ends map[string]int64) *gossiper.Gossiper {
@@ -105,7 +105,7 @@
 	a, b := n.add(1, 1, nil), n.add(2, 1, nil)
 	a.Meet(n.member(2))
 	n.run(4 * time.Second)
-	assert.DeepEqual(t, b.Members(), []allocator.Member{{VM: "vm1", Address: address(1), Zone: "z", Power: 0.5}}, cmpopts.EquateComparable(netip.AddrPort{}))
+	assert.DeepEqual(t, b.Members(), []allocator.Member{{VM: "vm1", Address: address(1), Zone: "z", Cores: 0.5}}, cmpopts.EquateComparable(netip.AddrPort{}))
 	delete(n.nodes, address(1))
 	n.run(2 * time.Second)
 	assert.Equal(t, len(b.Members()), 0)
--- a/entry/process/gossiper/message.go
+++ b/entry/process/gossiper/message.go
@@ -70,7 +70,7 @@
 
 func (w *wirePeer) member() (allocator.Member, bool) {
 	address, err := netip.ParseAddrPort(w.Address)
-	return allocator.Member{VM: w.VM, Address: address, Zone: w.Zone, Power: float64(w.Power)}, err == nil
+	return allocator.Member{VM: w.VM, Address: address, Zone: w.Zone, Cores: float64(w.Power)}, err == nil
 }
 
 // ageUnit is that of the ages of VMs, of which one byte holds the most.
--- a/entry/process/gossiper/receive.go
+++ b/entry/process/gossiper/receive.go
@@ -73,7 +73,7 @@
 func (g *Gossiper) take(from netip.AddrPort, m *message) (found, further bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p := g.meet(allocator.Member{VM: m.VM, Address: from, Zone: m.Zone, Power: float64(m.Power)})
+	p := g.meet(allocator.Member{VM: m.VM, Address: from, Zone: m.Zone, Cores: float64(m.Power)})
 	if p == nil || m.Boot < p.boot {
 		return false, false
 	}
@@ -101,7 +101,7 @@
 	if p.Leaving != m.Leaving {
 		p.Leaving, p.changed, g.members = m.Leaving, now, nil
 	}
-	p.Zone, p.Power = m.Zone, float64(m.Power)
+	p.Zone, p.Cores = m.Zone, float64(m.Power)
 	p.refused = time.Time{}
 	for _, w := range m.Streams {
 		further = p.read(now, w) || further
--- a/entry/process/gossiper/relay.go
+++ b/entry/process/gossiper/relay.go
@@ -52,7 +52,7 @@
 	now := g.now()
 	before, served := 0, 0
 	for _, p := range g.peers {
-		if p.Zone != g.me.Zone || p.Leaving || !g.lives(now, p) || !p.Before(&g.me, allocator.Group{Zone: g.me.Zone}) {
+		if p.Zone != g.me.Zone || p.Leaving || !g.lives(now, p) || !p.Outranks(&g.me, allocator.Group{Zone: g.me.Zone}) {
 			continue
 		}
 		before++
@@ -78,7 +78,7 @@
 	now := g.now()
 	for _, p := range g.peers {
 		heard := !p.heard.IsZero() && now.Sub(p.heard) <= g.quietFor(p, now)
-		if heard && p.Zone == g.me.Zone && !p.Leaving && now.Sub(p.refused) > refusedFor && p.Before(&g.me, allocator.Group{Zone: g.me.Zone}) {
+		if heard && p.Zone == g.me.Zone && !p.Leaving && now.Sub(p.refused) > refusedFor && p.Outranks(&g.me, allocator.Group{Zone: g.me.Zone}) {
 			return false
 		}
 	}
@@ -110,7 +110,7 @@
 // rank puts a VM among the first of its zone, where it belongs there.
 func rank(first []allocator.Member, m allocator.Member) []allocator.Member {
 	at := len(first)
-	for at > 0 && m.Before(&first[at-1], allocator.Group{Zone: m.Zone}) {
+	for at > 0 && m.Outranks(&first[at-1], allocator.Group{Zone: m.Zone}) {
 		at--
 	}
 	first = slices.Insert(first, at, m)
@@ -187,7 +187,7 @@
 }
 
 func (p *peer) wire() wirePeer {
-	return wirePeer{VM: p.VM, Address: p.Address.String(), Zone: p.Zone, Power: float32(p.Power), Leaving: p.Leaving}
+	return wirePeer{VM: p.VM, Address: p.Address.String(), Zone: p.Zone, Power: float32(p.Cores), Leaving: p.Leaving}
 }
 
 // farReadings are the freshest readings of each stream that this VM has heard of
--- a/entry/process/joiner/fold.go
+++ b/entry/process/joiner/fold.go
@@ -115,7 +115,7 @@
 			v.takeOut(c.Zone, c.Out, r.Offset)
 		}
 	}
-	v.allocator.Pump()
+	v.allocator.Dispatch()
 }
 
 // enforce puts a version in force, unless a newer one is: whoever brings it, a
@@ -174,7 +174,7 @@
 		// upstreams while the entries are still being taken in.
 		v.tracker.Outdate(false)
 	}
-	v.allocator.Pump()
+	v.allocator.Dispatch()
 }
 
 func (v *Process) expire(now time.Time) {
@@ -205,7 +205,7 @@
 		return
 	}
 	v.log.Warn().Bool("outdated", outdated).Dur("behind", behind).Msg("list of upstreams")
-	v.allocator.Pump()
+	v.allocator.Dispatch()
 }
 
 // meet folds addresses of VMs.
--- a/entry/process/joiner/joiner.go
+++ b/entry/process/joiner/joiner.go
@@ -198,7 +198,7 @@
 	if err != nil {
 		return nil, err
 	}
-	me := allocator.Member{VM: s.VM, Address: self, Zone: s.Zone, Power: s.Power}
+	me := allocator.Member{VM: s.VM, Address: self, Zone: s.Zone, Cores: s.Power}
 	v.me = me
 	v.gossiper = gossiper.New(me, v.boot, sender{v.datagrams}, v.ends, time.Now, log)
 	v.gossiper.Listen(v.wake)
@@ -208,8 +208,8 @@
 	}, MayTry: v.mayTry})
 	v.gossiper.Share(v.quarantine, v.ticker)
 	v.allocator = allocator.New(me, v.boot, allocator.Deps{
-		Tracker: v.tracker, Sender: sender{v.datagrams}, Timer: v.ticker, Meter: v.meter, Members: v.gossiper.Members, Fleet: v.gossiper.Fleet,
-		Service: v.service, ColdPart: v.coldPart, Now: time.Now, Log: log,
+		Tracker: v.tracker, Sender: sender{v.datagrams}, Timer: v.ticker, Meter: v.meter, Members: v.gossiper.Members, FleetSize: v.gossiper.Fleet,
+		Service: v.service, ColdStartQuota: v.coldPart, Now: time.Now, Log: log,
 	})
 	v.budget = newBudget(v)
 	probes := prober.New(prober.Deps{
@@ -238,7 +238,7 @@
 func (v *Process) gauges() error {
 	for name, value := range map[string]func() int64{
 		"waiting":   func() int64 { return int64(v.allocator.Waiting()) },
-		"groups":    func() int64 { return int64(v.allocator.Leads()) },
+		"groups":    func() int64 { return int64(v.allocator.LedGroups()) },
 		"active":    v.active.Load,
 		"upstreams": func() int64 { return int64(v.tracker.Len()) },
 		"vms":       func() int64 { return int64(len(v.gossiper.VMs())) },
--- a/entry/process/joiner/list_test.go
+++ b/entry/process/joiner/list_test.go
@@ -35,7 +35,7 @@
 
 // entryTime is what reading an entry takes: longer than the time between two looks
 // at what waits.
-const entryTime = 4 * allocator.TickEvery
+const entryTime = 4 * allocator.TickInterval
 
 func (p *slow) Newest(_ context.Context, stream string) ([]replicator.Record, int64, error) {
 	switch stream {
--- a/entry/process/joiner/listeners.go
+++ b/entry/process/joiner/listeners.go
@@ -70,7 +70,7 @@
 	v.log.Info().Int64("active", v.active.Load()).Msg("leaving")
 	grace := v.settings.Load().Bounds.Grace
 	v.gossiper.Leave()
-	v.allocator.Leave(now.Add(grace - stopSpare))
+	v.allocator.Drain(now.Add(grace - stopSpare))
 	time.Sleep(min(outTime, grace/2))
 	ctx, cancel := context.WithDeadline(context.Background(), now.Add(grace-stopSpare))
 	defer cancel()
--- a/entry/process/joiner/peers.go
+++ b/entry/process/joiner/peers.go
@@ -32,7 +32,7 @@
 			return
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		if n > 0 && buffer[0] == allocator.Mark {
+		if n > 0 && buffer[0] == allocator.DatagramType {
 			v.allocator.Receive(from, buffer[:n])
 			continue
 		}
--- a/entry/process/quarantiner/fleet_test.go
+++ b/entry/process/quarantiner/fleet_test.go
@@ -92,7 +92,7 @@
 func (f *fleet) join() {
 	i := len(f.vms)
 	v := &vm{f: f, member: allocator.Member{
-		VM: "vm" + strconv.Itoa(i), Zone: "z" + strconv.Itoa(i%3), Power: 0.4,
+		VM: "vm" + strconv.Itoa(i), Zone: "z" + strconv.Itoa(i%3), Cores: 0.4,
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}), 7000),
 	}}
 	f.vms = append(f.vms, v)
--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -37,7 +37,7 @@
 
 // A try is one sending that brought the head of an answer.
 type try struct {
-	grant    *allocator.Place
+	grant    *allocator.Placement
 	holding  *reserver.Holding
 	exchange *carrier.Exchange
 	verdict  Verdict
@@ -71,7 +71,7 @@
 	if t.holding != nil {
 		t.holding.Release()
 	}
-	t.grant.Done()
+	t.grant.Release()
 }
 
 // A step is how one sending ended.
--- a/entry/request/relayer/harness_test.go
+++ b/entry/request/relayer/harness_test.go
@@ -217,8 +217,8 @@
 	go clock.Run(t.Context())
 	places := allocator.New(allocator.Member{VM: "me", Zone: "z"}, 1, allocator.Deps{
 		Tracker: b.tracker, Sender: nobody{}, Timer: clock, Meter: b.meter, Members: func() []allocator.Member { return nil },
-		Service:  func(name string) (*matcher.Service, bool) { return b.table.Service(name) },
-		ColdPart: func(string, float64, bool) int { return 0 }, Now: time.Now, Log: zerolog.Nop(),
+		Service:        func(name string) (*matcher.Service, bool) { return b.table.Service(name) },
+		ColdStartQuota: func(string, float64, bool) int { return 0 }, Now: time.Now, Log: zerolog.Nop(),
 	})
 	r := relayer.New(relayer.Deps{
 		Table: b.inForce, Configured: b.configured, Dialect: dialect{}, Allocator: places, Tracker: b.tracker, Carrier: b.carrier,
@@ -235,7 +235,7 @@
 	b.server = httptest.NewServer(r)
 	// Cleanups run last first: places are counted once all requests have ended,
 	// which the server's Close waits for.
-	t.Cleanup(func() { assert.Check(t, len(places.Work()) == 0, "places were not given back: %v", places.Work()) })
+	t.Cleanup(func() { assert.Check(t, len(places.Loads()) == 0, "places were not given back: %v", places.Loads()) })
 	t.Cleanup(b.server.Close)
 	return b
 }
--- a/entry/request/relayer/stream.go
+++ b/entry/request/relayer/stream.go
@@ -138,7 +138,7 @@
 	}
 	t.began = true
 	r.deps.Tracker.Answered(now, t.grant.Upstream.ID)
-	t.grant.Began()
+	t.grant.MarkStarted()
 }
 
 // begun sends the head of the answer. A later upstream that goes on with the
--- a/entry/request/relayer/whole.go
+++ b/entry/request/relayer/whole.go
@@ -74,7 +74,7 @@
 		r.refuse(w, j, lost())
 		return
 	}
-	a.try.grant.Began()
+	a.try.grant.MarkStarted()
 	r.deps.Tracker.Answered(r.deps.Now(), a.try.grant.Upstream.ID)
 	r.head(w, j, x.Header)
 	if !a.more && (len(a.data) > 0 || x.Header.Get("Content-Length") == "") && bodied(j.request.Method, x.Status) {
