--- a/entry/process/joiner/joiner.go
+++ b/entry/process/joiner/joiner.go
@@ -111,7 +111,7 @@
 // A Platform translates a platform's records and calls.
 type Platform interface {
 	syncer.Source
-	reserver.Orderer
+	reserver.EngineClient
 	relayer.Dialect
 	// Announce records this VM for the other VMs.
 	Announce(ctx context.Context, m allocator.Member) error
@@ -202,10 +202,10 @@
 	v.me = me
 	v.gossiper = gossiper.New(me, v.boot, sender{v.datagrams}, v.ends, time.Now, log)
 	v.gossiper.Listen(v.wake)
-	v.quarantine = quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: log, Spread: func() {
+	v.quarantine = quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: log, Broadcast: func() {
 		v.gossiper.Spread()
 		signal(v.found)
-	}, MayTry: v.mayTry})
+	}, MayRunTrial: v.mayTry})
 	v.gossiper.Share(v.quarantine, v.ticker)
 	v.allocator = allocator.New(me, v.boot, allocator.Deps{
 		Tracker: v.tracker, Sender: sender{v.datagrams}, Timer: v.ticker, Meter: v.meter, Members: v.gossiper.Members, Fleet: v.gossiper.Fleet,
--- a/entry/process/joiner/list_test.go
+++ b/entry/process/joiner/list_test.go
@@ -27,7 +27,7 @@
 // slow is a platform whose list has two upstreams, and which takes a while to read
 // each entry.
 type slow struct {
-	reserver.Orderer
+	reserver.EngineClient
 	address string
 	// listed is closed when the list may be read.
 	listed chan struct{}
--- a/entry/process/joiner/quarantine.go
+++ b/entry/process/joiner/quarantine.go
@@ -104,7 +104,7 @@
 }
 
 func (v *Process) keepDue(ctx context.Context) {
-	held, over := v.quarantine.Due()
+	held, over := v.quarantine.Reconcile()
 	v.dropping.add(over...)
 	for _, r := range held {
 		short, cancel := context.WithTimeout(ctx, keepTime)
@@ -114,8 +114,8 @@
 			v.log.Warn().Stringer("fingerprint", r.Fingerprint).Err(err).Msg("quarantine not recorded")
 			return
 		}
-		v.quarantine.Stored(r)
-		v.log.Info().Stringer("fingerprint", r.Fingerprint).Time("held", r.Held).Bool("confirmed", r.Confirmed).Msg("quarantine recorded")
+		v.quarantine.MarkStored(r)
+		v.log.Info().Stringer("fingerprint", r.Fingerprint).Time("held", r.Since).Bool("confirmed", r.Confirmed).Msg("quarantine recorded")
 	}
 	if v.gossiper.Duty() != gossiper.Reads {
 		return
--- a/entry/process/keeper/keeper.go
+++ b/entry/process/keeper/keeper.go
@@ -43,8 +43,8 @@
 	Fresh(own bool) [][]byte
 	All() [][]byte
 	TakeOlder(data []byte, age time.Duration) (news bool)
-	Due() (keep []quarantiner.Record, drop []quarantiner.Fingerprint)
-	Stored(r quarantiner.Record)
+	Reconcile() (keep []quarantiner.Record, drop []quarantiner.Fingerprint)
+	MarkStored(r quarantiner.Record)
 }
 
 // Deps are what a Keeper works with.
@@ -107,12 +107,12 @@
 
 // retry appends what is held and not on the log yet.
 func (k *Keeper) retry(ctx context.Context) {
-	due, _ := k.kept.Due()
+	due, _ := k.kept.Reconcile()
 	if len(due) == 0 || !k.append(ctx, k.kept.All()) {
 		return
 	}
 	for _, r := range due {
-		k.kept.Stored(r)
+		k.kept.MarkStored(r)
 	}
 }
 
--- a/entry/process/keeper/keeper_test.go
+++ b/entry/process/keeper/keeper_test.go
@@ -81,7 +81,7 @@
 	t.Helper()
 	clock := ticker.New(time.Now, time.Millisecond)
 	k := keeper.New(keeper.Deps{Log: l, Ticker: clock, Logger: zerolog.Nop()})
-	q = quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Spread: k.Spread, MayTry: nobody})
+	q = quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: k.Spread, MayRunTrial: nobody})
 	k.Keep(q)
 	ctx, cancel := context.WithCancel(t.Context())
 	var parts sync.WaitGroup
--- a/entry/process/orderer/fleet_test.go
+++ b/entry/process/orderer/fleet_test.go
@@ -75,7 +75,7 @@
 	}
 	for range vms {
 		c := config()
-		c.Loads = w.loads
+		c.MaxLoads = w.loads
 		w.vms = append(w.vms, &vm{orderer: orderer.New(c), version: "1"})
 	}
 	return w
@@ -121,15 +121,15 @@
 	w.check()
 }
 
-func (w *world) facts(i int, v *vm) []orderer.Fact {
-	var facts []orderer.Fact
+func (w *world) facts(i int, v *vm) []orderer.Observation {
+	var facts []orderer.Observation
 	for _, e := range w.engines {
-		f := orderer.Fact{
-			Engine:   orderer.Engine{Name: e.name, Model: e.pool, Version: v.version, Load: load},
-			HasModel: e.pool, HasVersion: e.at(w.now.Add(-lag)), Held: e.holds(i, w.now), Fence: e.fence,
+		f := orderer.Observation{
+			Engine:        orderer.Engine{Name: e.name, Model: e.pool, Version: v.version, MaxLoadTime: load},
+			ReportedModel: e.pool, ReportedVersion: e.at(w.now.Add(-lag)), Held: e.holds(i, w.now), Fence: e.fence,
 		}
 		if !w.now.Before(e.down) {
-			f.Read = w.now
+			f.ReadAt = w.now
 		}
 		facts = append(facts, f)
 	}
@@ -139,18 +139,18 @@
 func (w *world) send(i int, v *vm) {
 	for _, o := range v.pending {
 		e := w.engines[o.Name[1]-'0']
-		if !o.Live(w.now, e.fence, e.holds(i, w.now)) {
-			v.orderer.Answered(o, orderer.Refused)
+		if !o.Valid(w.now, e.fence, e.holds(i, w.now)) {
+			v.orderer.RecordOutcome(o, orderer.Refused)
 			continue
 		}
 		assert.Assert(w.t, e.holds(i, w.now) && o.Fence == e.fence, "%s is ordered under a fence not in force", e.name)
-		v.orderer.Answered(o, w.take(e, o))
+		v.orderer.RecordOutcome(o, w.take(e, o))
 	}
 	v.pending = nil
 }
 
 // take is the engine's side of an order.
-func (w *world) take(e *engine, o orderer.Order) orderer.Answer {
+func (w *world) take(e *engine, o orderer.Order) orderer.Outcome {
 	if w.now.Before(e.down) {
 		return orderer.Lost
 	}
--- a/entry/process/orderer/orderer.go
+++ b/entry/process/orderer/orderer.go
@@ -42,13 +42,13 @@
 
 // A Config is what bounds orders.
 type Config struct {
-	// Loads is how many engines may load at once over the whole fleet.
-	Loads int
+	// MaxLoads is how many engines may load at once over the whole fleet.
+	MaxLoads int
 	// Lease is how long a holder may go on without knowing of its successor.
 	Lease time.Duration
-	// Drain is how long work on an engine may last at most. After that the
+	// DrainTimeout is how long work on an engine may last at most. After that the
 	// engine is ordered whatever it reports.
-	Drain time.Duration
+	DrainTimeout time.Duration
 }
 
 // An Engine is what the manifest says of an engine.
@@ -57,31 +57,35 @@
 	// Model and Version are what it should serve; engines of one model are a
 	// pool.
 	Model, Version string
-	// Load is the longest time that loading takes.
-	Load time.Duration
+	// MaxLoadTime is the longest time that loading takes.
+	MaxLoadTime time.Duration
 }
 
 // settling is how long it takes until nothing loads any more that was ordered
 // under an older picture, and all can see what came of it.
-func (e Engine) settling() time.Duration { return e.Load + margin }
+func (e Engine) settling() time.Duration { return e.MaxLoadTime + margin }
 
-// A Fact is what is known of an engine at a tick.
-type Fact struct {
+// An Observation is what is known of an engine at a tick.
+type Observation struct {
 	Engine
-	// Read is when the reading of its report began; zero where it gave none.
-	Read time.Time
-	// HasModel and HasVersion are what it reports to serve, and Work how many
+	// ReadAt is when the reading of its report began; zero where it gave none.
+	ReadAt time.Time
+	// ReportedModel and ReportedVersion are what it reports to serve, and Work how many
 	// requests run or wait there.
-	HasModel, HasVersion string
-	Work                 int
+	ReportedModel, ReportedVersion string
+	Requests                       int
 	// Held says that this process holds it, under Fence.
 	Held  bool
 	Fence uint64
 }
 
-func (f Fact) known(now time.Time) bool { return !f.Read.IsZero() && now.Sub(f.Read) <= fresh }
+func (f Observation) known(now time.Time) bool {
+	return !f.ReadAt.IsZero() && now.Sub(f.ReadAt) <= fresh
+}
 
-func (f Fact) right() bool { return f.HasModel == f.Model && f.HasVersion == f.Version }
+func (f Observation) right() bool {
+	return f.ReportedModel == f.Model && f.ReportedVersion == f.Version
+}
 
 // An Order tells an engine to load.
 type Order struct {
@@ -91,21 +95,21 @@
 	At time.Time
 }
 
-// Live says whether an order may be sent, given the fence under which its
+// Valid says whether an order may be sent, given the fence under which its
 // engine is held now. A process frozen since it decided wakes with an order that
 // others may have replaced: without this an engine that checks no fences would
 // load an old version after the newer one.
-func (o Order) Live(now time.Time, fence uint64, held bool) bool {
+func (o Order) Valid(now time.Time, fence uint64, held bool) bool {
 	return held && fence == o.Fence && now.Sub(o.At) <= sending
 }
 
-// An Answer is how an order ended.
-type Answer int
+// An Outcome is how an order ended.
+type Outcome int
 
 // The answers to orders.
 const (
 	// Accepted is an order that the engine took.
-	Accepted Answer = iota
+	Accepted Outcome = iota
 	// Lost is one that may have been taken.
 	Lost
 	// Refused is one that the engine did not take.
@@ -144,7 +148,7 @@
 // Tick takes in what is known of all engines, by name in order, and returns the
 // orders to be sent at once. Facts may end early, after as many engines that
 // are wrong or unknown as may load at once.
-func (r *Orderer) Tick(now time.Time, facts []Fact) []Order {
+func (r *Orderer) Tick(now time.Time, facts []Observation) []Order {
 	r.forget(facts)
 	sizes := make(map[string]int)
 	for _, f := range facts {
@@ -163,13 +167,13 @@
 		if f.known(now) && f.right() {
 			continue
 		}
-		turn := behind < r.config.Loads && pools[f.Model] < Out(sizes[f.Model])
+		turn := behind < r.config.MaxLoads && pools[f.Model] < Out(sizes[f.Model])
 		behind++
 		pools[f.Model]++
 		if !s.settled(now, f, turn) {
 			continue
 		}
-		if sizes[f.Model] > 1 && now.Sub(s.turn) < r.config.Drain+2*f.settling() {
+		if sizes[f.Model] > 1 && now.Sub(s.turn) < r.config.DrainTimeout+2*f.settling() {
 			r.turns = append(r.turns, f.Name)
 		}
 		if r.due(now, f, s) {
@@ -184,23 +188,23 @@
 // Out is how many of a pool's engines may be out at once.
 func Out(engines int) int { return max(1, engines/poolPart) }
 
-// Turns are the engines that get no new work, because they are to load or load
+// Draining are the engines that get no new work, because they are to load or load
 // now. Every VM finds the same ones, so that an engine's work ends. The only
 // engine of a pool is not among them: it serves until it loads. Nor is one that
 // still shows its old version after its work must have ended and it was ordered: it
 // takes no orders, and would serve nothing for ever.
-func (r *Orderer) Turns() []string { return r.turns }
+func (r *Orderer) Draining() []string { return r.turns }
 
-// Answered takes in how an order ended. An engine that refused a fence has seen
+// RecordOutcome takes in how an order ended. An engine that refused a fence has seen
 // another holder's, so that nothing more is sent under it.
-func (r *Orderer) Answered(o Order, a Answer) {
+func (r *Orderer) RecordOutcome(o Order, a Outcome) {
 	s := r.states[o.Name]
 	if s != nil && a == Fenced {
 		s.fenced = max(s.fenced, o.Fence)
 	}
 }
 
-func (r *Orderer) forget(facts []Fact) {
+func (r *Orderer) forget(facts []Observation) {
 	names := make(map[string]bool, len(facts))
 	for _, f := range facts {
 		names[f.Name] = true
@@ -213,7 +217,7 @@
 }
 
 // see takes in one engine's fact.
-func (s *state) see(now time.Time, f Fact) {
+func (s *state) see(now time.Time, f Observation) {
 	if s.model != f.Model || s.version != f.Version {
 		*s = state{model: f.Model, version: f.Version, held: s.held, fence: s.fence, fenced: s.fenced}
 	}
@@ -233,7 +237,7 @@
 	if s.wrong.IsZero() {
 		s.wrong = now
 	}
-	if f.Work > 0 {
+	if f.Requests > 0 {
 		s.idle = time.Time{}
 	} else if s.idle.IsZero() {
 		s.idle = now
@@ -243,7 +247,7 @@
 // settled says whether an engine that is wrong has its turn, and has been wrong
 // for long enough that whatever began to load before the others saw it has
 // loaded.
-func (s *state) settled(now time.Time, f Fact, turn bool) bool {
+func (s *state) settled(now time.Time, f Observation, turn bool) bool {
 	if !turn || s.wrong.IsZero() || now.Sub(s.wrong) < f.settling() {
 		s.turn = time.Time{}
 		return false
@@ -255,7 +259,7 @@
 }
 
 // due says whether an engine that has its turn is to be ordered now.
-func (r *Orderer) due(now time.Time, f Fact, s *state) bool {
+func (r *Orderer) due(now time.Time, f Observation, s *state) bool {
 	if !f.Held || f.Fence <= s.fenced {
 		return false
 	}
@@ -269,9 +273,9 @@
 	// An order whose answer was lost may have landed, and a second one begins
 	// the load anew: it goes only once the first would have ended, and a report
 	// read since then shows that it has not.
-	if !s.sent.IsZero() && f.Read.Sub(s.sent) < f.settling()<<min(s.tries-1, mostDoublings) {
+	if !s.sent.IsZero() && f.ReadAt.Sub(s.sent) < f.settling()<<min(s.tries-1, mostDoublings) {
 		return false
 	}
 	drained := !s.idle.IsZero() && now.Sub(s.idle) >= quiet
-	return drained || now.Sub(s.turn) >= r.config.Drain
+	return drained || now.Sub(s.turn) >= r.config.DrainTimeout
 }
--- a/entry/process/orderer/orderer_test.go
+++ b/entry/process/orderer/orderer_test.go
@@ -20,26 +20,26 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func config() orderer.Config { return orderer.Config{Loads: 2, Lease: lease, Drain: drain} }
+func config() orderer.Config { return orderer.Config{MaxLoads: 2, Lease: lease, DrainTimeout: drain} }
 
 // behind is an engine that this process holds and that shows an old version.
-func behind(name string) orderer.Fact {
-	return orderer.Fact{
-		Engine:   orderer.Engine{Name: name, Model: "m", Version: "2", Load: load},
-		HasModel: "m", HasVersion: "1", Held: true, Fence: 5,
+func behind(name string) orderer.Observation {
+	return orderer.Observation{
+		Engine:        orderer.Engine{Name: name, Model: "m", Version: "2", MaxLoadTime: load},
+		ReportedModel: "m", ReportedVersion: "1", Held: true, Fence: 5,
 	}
 }
 
 // run ticks for a time with the same facts, freshly read, and returns what is
 // ordered; each order ends in the same answer.
-func run(r *orderer.Orderer, from time.Time, d time.Duration, answer orderer.Answer, facts ...orderer.Fact) []orderer.Order {
+func run(r *orderer.Orderer, from time.Time, d time.Duration, answer orderer.Outcome, facts ...orderer.Observation) []orderer.Order {
 	var all []orderer.Order
 	for now := from; now.Before(from.Add(d)); now = now.Add(step) {
 		for i := range facts {
-			facts[i].Read = now
+			facts[i].ReadAt = now
 		}
 		for _, o := range r.Tick(now, facts) {
-			r.Answered(o, answer)
+			r.RecordOutcome(o, answer)
 			all = append(all, o)
 		}
 	}
@@ -48,14 +48,14 @@
 
 func TestWhoIsOrdered(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(*orderer.Fact)
+		change func(*orderer.Observation)
 		orders int
 	}{
-		"one that is behind":     {func(*orderer.Fact) {}, 1},
-		"one of another model":   {func(f *orderer.Fact) { f.HasModel, f.HasVersion = "n", "2" }, 1},
-		"one that is right":      {func(f *orderer.Fact) { f.HasVersion = "2" }, 0},
-		"one held by another VM": {func(f *orderer.Fact) { f.Held = false }, 0},
-		"one with work":          {func(f *orderer.Fact) { f.Work = 1 }, 0},
+		"one that is behind":     {func(*orderer.Observation) {}, 1},
+		"one of another model":   {func(f *orderer.Observation) { f.ReportedModel, f.ReportedVersion = "n", "2" }, 1},
+		"one that is right":      {func(f *orderer.Observation) { f.ReportedVersion = "2" }, 0},
+		"one held by another VM": {func(f *orderer.Observation) { f.Held = false }, 0},
+		"one with work":          {func(f *orderer.Observation) { f.Requests = 1 }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := behind("e1")
@@ -68,7 +68,7 @@
 // A request that never ends would keep an engine on its old version for ever.
 func TestEngineWithWorkIsOrderedAfterTheLongestTimeOfWork(t *testing.T) {
 	f := behind("e1")
-	f.Work = 1
+	f.Requests = 1
 	r := orderer.New(config())
 	assert.Equal(t, len(run(r, epoch, drain, orderer.Accepted, f)), 0)
 	assert.Equal(t, len(run(r, epoch.Add(drain), settling, orderer.Accepted, f)), 1)
@@ -119,29 +119,29 @@
 // replaced.
 func TestOrderDiesWithItsClaimAndWithTime(t *testing.T) {
 	o := orderer.Order{Fence: 5, At: epoch}
-	assert.Assert(t, o.Live(epoch.Add(time.Second/2), 5, true))
-	assert.Assert(t, !o.Live(epoch, 6, true))
-	assert.Assert(t, !o.Live(epoch, 5, false))
-	assert.Assert(t, !o.Live(epoch.Add(time.Minute), 5, true))
+	assert.Assert(t, o.Valid(epoch.Add(time.Second/2), 5, true))
+	assert.Assert(t, !o.Valid(epoch, 6, true))
+	assert.Assert(t, !o.Valid(epoch, 5, false))
+	assert.Assert(t, !o.Valid(epoch.Add(time.Minute), 5, true))
 }
 
 // A VM that was frozen wakes with old readings. By them an engine is idle and
 // behind that works or is right again.
 func TestOldReadingsOrderNothing(t *testing.T) {
 	r, f := orderer.New(config()), behind("e1")
-	f.Read = epoch
+	f.ReadAt = epoch
 	for now := epoch; now.Before(epoch.Add(10 * time.Minute)); now = now.Add(step) {
-		assert.Equal(t, len(r.Tick(now, []orderer.Fact{f})), 0)
+		assert.Equal(t, len(r.Tick(now, []orderer.Observation{f})), 0)
 	}
 }
 
 // An engine gives no reports. It may be loading, so it counts among those that
 // load, and the next ones wait.
 func TestEnginesWithoutReportsCount(t *testing.T) {
-	facts := []orderer.Fact{behind("e1"), behind("e2"), behind("e3")}
+	facts := []orderer.Observation{behind("e1"), behind("e2"), behind("e3")}
 	r := orderer.New(config())
 	for now := epoch; now.Before(epoch.Add(settling)); now = now.Add(step) {
-		facts[0].Read, facts[1].Read, facts[2].Read = time.Time{}, time.Time{}, now
+		facts[0].ReadAt, facts[1].ReadAt, facts[2].ReadAt = time.Time{}, time.Time{}, now
 		assert.Equal(t, len(r.Tick(now, facts)), 0)
 	}
 }
@@ -149,21 +149,21 @@
 // An engine takes no orders, as one of an older release. Its turn never ends, and
 // without an end of another kind it would get no work ever again.
 func TestEngineThatTakesNoOrdersGetsWorkAgain(t *testing.T) {
-	r, facts := orderer.New(config()), []orderer.Fact{behind("e1"), behind("e2")}
+	r, facts := orderer.New(config()), []orderer.Observation{behind("e1"), behind("e2")}
 	run(r, epoch, settling, orderer.Refused, facts...)
-	assert.DeepEqual(t, r.Turns(), []string{"e1"})
+	assert.DeepEqual(t, r.Draining(), []string{"e1"})
 	run(r, epoch.Add(settling), drain+2*settling, orderer.Refused, facts...)
-	assert.Equal(t, len(r.Turns()), 0)
+	assert.Equal(t, len(r.Draining()), 0)
 }
 
 func TestTurnsLeaveTheRestOfAPool(t *testing.T) {
 	for size, want := range map[int]int{1: 0, 2: 1, 4: 1, 7: 1, 8: 2, 40: 2} {
-		var facts []orderer.Fact
+		var facts []orderer.Observation
 		for i := range size {
 			facts = append(facts, behind("e"+string(rune('A'+i))))
 		}
 		r := orderer.New(config())
 		run(r, epoch, settling, orderer.Accepted, facts...)
-		assert.Equal(t, len(r.Turns()), want, "pool of %d", size)
+		assert.Equal(t, len(r.Draining()), want, "pool of %d", size)
 	}
 }
--- a/entry/process/quarantiner/fleet_test.go
+++ b/entry/process/quarantiner/fleet_test.go
@@ -107,14 +107,14 @@
 	v.started = f.now
 	v.ticker = ticker.New(now, step)
 	v.gossip = gossiper.New(v.member, f.boot, v, func() map[string]gossiper.End { return nil }, now, zerolog.Nop())
-	v.keeps = quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: now, Log: zerolog.Nop(), Spread: v.gossip.Spread, MayTry: v.mayTry})
+	v.keeps = quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: now, Log: zerolog.Nop(), Broadcast: v.gossip.Spread, MayRunTrial: v.mayTry})
 	v.gossip.Share(v.keeps, v.ticker)
 	v.ticker.Subscribe(gossiper.BeatEvery, v.gossip.Tick)
 	v.ticker.Subscribe(time.Second, func(time.Time) {
-		held, _ := v.keeps.Due()
+		held, _ := v.keeps.Reconcile()
 		for _, r := range held {
 			f.stored[r.Fingerprint.String()] = r
-			v.keeps.Stored(r)
+			v.keeps.MarkStored(r)
 		}
 	})
 	for _, r := range f.stored {
@@ -145,7 +145,7 @@
 }
 
 func (f *fleet) send(v *vm, left int) {
-	if _, held := v.keeps.Came(one); held || left == 0 {
+	if _, held := v.keeps.Arrived(one); held || left == 0 {
 		return
 	}
 	f.sent = append(f.sent, f.now)
@@ -245,12 +245,12 @@
 
 // A request that waits for a place while it is found out would go out with the next.
 func TestWaitingRequestEndsOnceItIsHeld(t *testing.T) {
-	q := quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Spread: func() {}, MayTry: nobody})
-	waiting, release := q.Guard(t.Context(), one)
+	q := quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: nobody})
+	waiting, release := q.CancelWhenHeld(t.Context(), one)
 	defer release()
-	beside, done := q.Guard(t.Context(), other)
+	beside, done := q.CancelWhenHeld(t.Context(), other)
 	defer done()
-	answered, ends := q.Guard(t.Context(), one)
+	answered, ends := q.CancelWhenHeld(t.Context(), one)
 	ends()
 	for i := range 3 {
 		q.Lost(one, "u"+strconv.Itoa(i), 1)
@@ -262,7 +262,7 @@
 
 // An upstream that starts again under its name and crashes again is another loss.
 func TestEachRunOfAnUpstreamIsALoss(t *testing.T) {
-	q := quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Spread: func() {}, MayTry: nobody})
+	q := quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: nobody})
 	for born := range int64(3) {
 		_, held := q.Held(one)
 		assert.Assert(t, !held)
--- a/entry/process/quarantiner/ledger.go
+++ b/entry/process/quarantiner/ledger.go
@@ -169,9 +169,9 @@
 	return max(left, trialFor), left > 0 || now.Sub(e.trial) >= trialFor
 }
 
-// Came is Held for a request that has just come. It says whether its trial is due, which
+// Arrived is Held for a request that has just come. It says whether its trial is due, which
 // Try begins.
-func (l *Ledger) Came(now time.Time, f fingerprinter.Fingerprint) (after time.Duration, held, due bool) {
+func (l *Ledger) Arrived(now time.Time, f fingerprinter.Fingerprint) (after time.Duration, held, due bool) {
 	e, ok := l.entries[f]
 	if !ok || !e.isHeld() {
 		return 0, false, false
@@ -193,7 +193,7 @@
 
 // Try lets a request that is held run once, where its trial is due.
 func (l *Ledger) Try(now time.Time, f fingerprinter.Fingerprint) bool {
-	_, _, due := l.Came(now, f)
+	_, _, due := l.Arrived(now, f)
 	if due {
 		l.entries[f].trial = now
 	}
--- a/entry/process/quarantiner/ledger_test.go
+++ b/entry/process/quarantiner/ledger_test.go
@@ -95,16 +95,16 @@
 		l.Lost(at(i), one, uint32(i))
 	}
 	assert.Assert(t, !l.Try(at(20_000), one), "tried at once")
-	_, held, due := l.Came(at(31_000), one)
+	_, held, due := l.Arrived(at(31_000), one)
 	assert.Assert(t, held && due)
 	assert.Assert(t, l.Try(at(31_000), one))
 	_, held = l.Held(at(31_001), one)
 	assert.Assert(t, !held, "the trial itself is held")
-	_, held, _ = l.Came(at(31_001), one)
+	_, held, _ = l.Arrived(at(31_001), one)
 	assert.Assert(t, held)
 	assert.Assert(t, !l.Try(at(31_001), one), "tried twice at once")
 	assert.Assert(t, l.Served(at(31_500), one))
-	_, held, _ = l.Came(at(31_600), one)
+	_, held, _ = l.Arrived(at(31_600), one)
 	assert.Assert(t, !held)
 }
 
@@ -117,7 +117,7 @@
 	assert.Assert(t, l.Try(at(31_000), one))
 	l.Lost(at(31_100), one, 99)
 	for i := range 60 {
-		_, held, due := l.Came(at(31_200+10_000*i), one)
+		_, held, due := l.Arrived(at(31_200+10_000*i), one)
 		assert.Assert(t, held && !due, "tried again after %d s", 10*i)
 	}
 }
@@ -150,7 +150,7 @@
 	l.Lost(now, other, 3)
 	for range 100 {
 		now = now.Add(10 * time.Minute)
-		l.Came(now, one)
+		l.Arrived(now, one)
 		l.Expire(now)
 		_, held := l.Held(now, one)
 		assert.Assert(t, held, "let loose after %v", now.Sub(start))
@@ -158,7 +158,7 @@
 	_, held := l.Held(now, other)
 	assert.Assert(t, !held)
 	now = start.Add(25 * time.Hour)
-	l.Came(now, one)
+	l.Arrived(now, one)
 	_, held = l.Held(now, one)
 	assert.Assert(t, !held)
 	l.Expire(now)
--- a/entry/process/quarantiner/quarantiner.go
+++ b/entry/process/quarantiner/quarantiner.go
@@ -45,11 +45,11 @@
 	Meter Meter
 	Now   func() time.Time
 	Log   zerolog.Logger
-	// Spread is called when there is something to tell other VMs at once.
-	Spread func()
-	// MayTry says that this VM, and no other, may run a held request once to see whether
+	// Broadcast is called when there is something to tell other VMs at once.
+	Broadcast func()
+	// MayRunTrial says that this VM, and no other, may run a held request once to see whether
 	// it is at fault. It is called without a lock.
-	MayTry func(f Fingerprint) bool
+	MayRunTrial func(f Fingerprint) bool
 }
 
 // A Quarantiner is one VM's part. It is safe for concurrent use.
@@ -83,7 +83,7 @@
 		q.held(f, "found here")
 	}
 	q.mu.Unlock()
-	q.deps.Spread()
+	q.deps.Broadcast()
 	return losses
 }
 
@@ -110,7 +110,7 @@
 	}
 	q.mu.Unlock()
 	if lifted {
-		q.deps.Spread()
+		q.deps.Broadcast()
 	}
 }
 
@@ -122,12 +122,12 @@
 	return q.ledger.Held(q.deps.Now(), f)
 }
 
-// Came is Held for a request that has just come.
-func (q *Quarantiner) Came(f fingerprinter.Fingerprint) (after time.Duration, held bool) {
+// Arrived is Held for a request that has just come.
+func (q *Quarantiner) Arrived(f fingerprinter.Fingerprint) (after time.Duration, held bool) {
 	q.mu.Lock()
-	after, held, due := q.ledger.Came(q.deps.Now(), f)
+	after, held, due := q.ledger.Arrived(q.deps.Now(), f)
 	q.mu.Unlock()
-	if !due || !q.deps.MayTry(f) {
+	if !due || !q.deps.MayRunTrial(f) {
 		return after, held
 	}
 	q.mu.Lock()
@@ -139,9 +139,9 @@
 	return 0, false
 }
 
-// Guard gives a context that ends with ErrHeld when a request turns out to be one
+// CancelWhenHeld gives a context that ends with ErrHeld when a request turns out to be one
 // that is held, until it is released.
-func (q *Quarantiner) Guard(ctx context.Context, f fingerprinter.Fingerprint) (guarded context.Context, release func()) {
+func (q *Quarantiner) CancelWhenHeld(ctx context.Context, f fingerprinter.Fingerprint) (guarded context.Context, release func()) {
 	guarded, cancel := context.WithCancelCause(ctx)
 	g := &guard{cancel}
 	q.mu.Lock()
@@ -234,8 +234,8 @@
 // A Record is what the platform keeps of a held request.
 type Record struct {
 	Fingerprint fingerprinter.Fingerprint
-	// Held is since when, and Confirmed says that a trial crashed as well.
-	Held      time.Time
+	// Since is since when, and Confirmed says that a trial crashed as well.
+	Since     time.Time
 	Confirmed bool
 }
 
@@ -254,7 +254,7 @@
 	defer q.mu.Unlock()
 	now := q.deps.Now()
 	// Clocks differ: what is held from a moment on that has not come yet is held now.
-	since := r.Held
+	since := r.Since
 	if since.After(now) {
 		since = now
 	}
@@ -275,17 +275,17 @@
 	}
 }
 
-// Stored notes that the platform keeps a record.
-func (q *Quarantiner) Stored(r Record) {
+// MarkStored notes that the platform keeps a record.
+func (q *Quarantiner) MarkStored(r Record) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.Stored(r.Fingerprint, r.stored())
 	delete(q.tried, r.Fingerprint)
 }
 
-// Due drops what is over, and gives the held requests that the platform should be
+// Reconcile drops what is over, and gives the held requests that the platform should be
 // asked to keep now, and those that it need not keep any longer.
-func (q *Quarantiner) Due() (keep []Record, drop []fingerprinter.Fingerprint) {
+func (q *Quarantiner) Reconcile() (keep []Record, drop []fingerprinter.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.deps.Now()
@@ -303,7 +303,7 @@
 			continue
 		}
 		q.tried[e.Fingerprint] = now
-		keep = append(keep, Record{Fingerprint: e.Fingerprint, Held: e.HeldSince(), Confirmed: e.isConfirmed()})
+		keep = append(keep, Record{Fingerprint: e.Fingerprint, Since: e.HeldSince(), Confirmed: e.isConfirmed()})
 	}
 	for f := range q.tried {
 		if !q.ledger.Known(f) {
--- a/entry/process/reserver/reserver.go
+++ b/entry/process/reserver/reserver.go
@@ -31,16 +31,16 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("reserver")
 
-// An Orderer gives orders to engines.
-type Orderer interface {
+// An EngineClient gives orders to engines.
+type EngineClient interface {
 	// Reserve sets memory aside under a name, or renews it.
 	Reserve(ctx context.Context, address, name string, tokens int, hold time.Duration) error
 	// Release gives it back.
 	Release(ctx context.Context, address, name string) error
 }
 
-// A Part is memory at one engine.
-type Part struct {
+// An EngineMemory is memory at one engine.
+type EngineMemory struct {
 	Address string
 	Tokens  int
 }
@@ -48,7 +48,7 @@
 // A Reserver sets memory aside.
 type Reserver struct {
 	prefix  string
-	orderer Orderer
+	orderer EngineClient
 	hold    func() time.Duration
 	log     zerolog.Logger
 	ids     atomic.Uint64
@@ -56,23 +56,23 @@
 
 // New returns a Reserver. Its names begin with prefix, which no other process
 // uses; hold is how long a lease lasts unless it is renewed.
-func New(prefix string, o Orderer, hold func() time.Duration, log zerolog.Logger) *Reserver {
+func New(prefix string, o EngineClient, hold func() time.Duration, log zerolog.Logger) *Reserver {
 	return &Reserver{prefix: prefix, orderer: o, hold: hold, log: log}
 }
 
-// A Holding is memory set aside for one request.
-type Holding struct {
+// A Reservation is memory set aside for one request.
+type Reservation struct {
 	// Names are those of the parts, in their order.
 	Names    []string
 	reserver *Reserver
-	parts    []Part
+	parts    []EngineMemory
 	stop     context.CancelFunc
 	once     sync.Once
 }
 
 // Reserve sets all parts aside, or none.
-func (r *Reserver) Reserve(ctx context.Context, request string, parts []Part) (*Holding, error) {
-	h := &Holding{reserver: r, parts: parts}
+func (r *Reserver) Reserve(ctx context.Context, request string, parts []EngineMemory) (*Reservation, error) {
+	h := &Reservation{reserver: r, parts: parts}
 	for range parts {
 		h.Names = append(h.Names, r.prefix+strconv.FormatUint(r.ids.Add(1), 36))
 	}
@@ -94,14 +94,14 @@
 	return h, nil
 }
 
-func (r *Reserver) reserve(ctx context.Context, p Part, name string) error {
+func (r *Reserver) reserve(ctx context.Context, p EngineMemory, name string) error {
 	short, cancel := context.WithTimeout(ctx, answerTime)
 	defer cancel()
 	return r.orderer.Reserve(short, p.Address, name, p.Tokens, r.hold())
 }
 
 // renew keeps the leases until the holding is released.
-func (h *Holding) renew(ctx context.Context) {
+func (h *Reservation) renew(ctx context.Context) {
 	t := time.NewTicker(h.reserver.hold() / renewals)
 	defer t.Stop()
 	for {
@@ -119,20 +119,20 @@
 }
 
 // Release gives all parts back. It does not wait for the engines.
-func (h *Holding) Release() {
+func (h *Reservation) Release() {
 	h.once.Do(func() {
 		h.stop()
 		go h.giveBack()
 	})
 }
 
-func (h *Holding) giveBack() {
+func (h *Reservation) giveBack() {
 	for i, p := range h.parts {
 		h.reserver.release(p, h.Names[i])
 	}
 }
 
-func (r *Reserver) release(p Part, name string) {
+func (r *Reserver) release(p EngineMemory, name string) {
 	var err error
 	for range releases {
 		ctx, cancel := context.WithTimeout(context.Background(), answerTime)
--- a/entry/process/reserver/reserver_test.go
+++ b/entry/process/reserver/reserver_test.go
@@ -73,7 +73,7 @@
 	})
 }
 
-var parts = []reserver.Part{{Address: "a", Tokens: 10}, {Address: "b", Tokens: 20}}
+var parts = []reserver.EngineMemory{{Address: "a", Tokens: 10}, {Address: "b", Tokens: 20}}
 
 func start(e *engines, hold time.Duration) *reserver.Reserver {
 	return reserver.New("me-", e, func() time.Duration { return hold }, zerolog.Nop())
--- a/entry/process/server/orders.go
+++ b/entry/process/server/orders.go
@@ -68,7 +68,7 @@
 		r.Configure(orderConfig(view))
 		facts, behind := v.orderFacts(ctx, view)
 		orders := r.Tick(time.Now(), facts)
-		v.dispatcher.Avoid(r.Turns())
+		v.dispatcher.Avoid(r.Draining())
 		clean = time.Time{}
 		if behind == 0 {
 			clean = time.Now()
@@ -78,9 +78,9 @@
 }
 
 func orderConfig(view *viewer.View) orderer.Config {
-	c := orderer.Config{Loads: orderLoads(view), Lease: coordinator.Today().Lease}
+	c := orderer.Config{MaxLoads: orderLoads(view), Lease: coordinator.Today().Lease}
 	for _, class := range view.Manifest.Classes {
-		c.Drain = max(c.Drain, time.Duration(class.Most))
+		c.DrainTimeout = max(c.DrainTimeout, time.Duration(class.Most))
 	}
 	return c
 }
@@ -93,7 +93,7 @@
 }
 
 // orderFacts reads the engines' reports in the order of their names.
-func (v *Server) orderFacts(ctx context.Context, view *viewer.View) (facts []orderer.Fact, behind int) {
+func (v *Server) orderFacts(ctx context.Context, view *viewer.View) (facts []orderer.Observation, behind int) {
 	for _, u := range view.Upstreams() {
 		m := view.Manifest.Models[u.Model]
 		if u.Out || u.Model == "" || m.Version == "" {
@@ -103,8 +103,8 @@
 		if load <= 0 {
 			load = defaultLoad
 		}
-		facts = append(facts, orderer.Fact{Engine: orderer.Engine{
-			Name: u.Name, Address: u.Address, Model: u.Model, Version: m.Version, Load: load,
+		facts = append(facts, orderer.Observation{Engine: orderer.Engine{
+			Name: u.Name, Address: u.Address, Model: u.Model, Version: m.Version, MaxLoadTime: load,
 		}})
 	}
 	places := make(chan struct{}, orderReads)
@@ -120,14 +120,14 @@
 	for i := range facts {
 		f := &facts[i]
 		f.Fence, f.Held = v.coordinator.Fence(f.Name)
-		if f.HasModel != f.Model || f.HasVersion != f.Version {
+		if f.ReportedModel != f.Model || f.ReportedVersion != f.Version {
 			behind++
 		}
 	}
 	return facts, behind
 }
 
-func (v *Server) readReport(ctx context.Context, f *orderer.Fact) {
+func (v *Server) readReport(ctx context.Context, f *orderer.Observation) {
 	began := time.Now()
 	var report loadReport
 	status, err := v.engineCall(ctx, sling.New().Get("http://"+f.Address+"/v1/load"), &report)
@@ -135,29 +135,29 @@
 		v.meter.Count("orders.unread", 1)
 		return
 	}
-	f.Read, f.Work = began, report.Running+report.Waiting
-	f.HasModel, f.HasVersion = report.Model, report.Version
+	f.ReadAt, f.Requests = began, report.Running+report.Waiting
+	f.ReportedModel, f.ReportedVersion = report.Model, report.Version
 }
 
 // sendOrders sends orders side by side: one behind a slow engine's would be too
 // old to be sent.
 func (v *Server) sendOrders(ctx context.Context, r *orderer.Orderer, orders []orderer.Order) {
-	answers := make([]orderer.Answer, len(orders))
+	answers := make([]orderer.Outcome, len(orders))
 	var sends sync.WaitGroup
 	for i, o := range orders {
 		sends.Go(func() { answers[i] = v.sendOrder(ctx, o) })
 	}
 	sends.Wait()
 	for i, o := range orders {
-		r.Answered(o, answers[i])
+		r.RecordOutcome(o, answers[i])
 	}
 }
 
 // sendOrder sends an order, unless its engine is no longer held as it was.
-func (v *Server) sendOrder(ctx context.Context, o orderer.Order) orderer.Answer {
+func (v *Server) sendOrder(ctx context.Context, o orderer.Order) orderer.Outcome {
 	body := orderBody{Fence: o.Fence, Kind: "load", Model: o.Model, Version: o.Version}
 	request := sling.New().Post("http://" + o.Address + "/v1/orders").BodyJSON(body)
-	if fence, held := v.coordinator.Fence(o.Name); !o.Live(time.Now(), fence, held) {
+	if fence, held := v.coordinator.Fence(o.Name); !o.Valid(time.Now(), fence, held) {
 		v.meter.Count("orders.stopped", 1)
 		return orderer.Refused
 	}
--- a/entry/process/server/server.go
+++ b/entry/process/server/server.go
@@ -149,7 +149,7 @@
 	}, supply{v.coordinator}, v.observer, time.Now)
 	bodies := &reader.Reader{Most: int64(v.settings.Limits.Body), Budget: v.bodies, Patience: patience}
 	v.keeper = keeper.New(keeper.Deps{Log: v.records, Ticker: v.ticker, Logger: v.log})
-	quarantine := quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: v.log, Spread: v.keeper.Spread, MayTry: v.mayTry})
+	quarantine := quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: v.log, Broadcast: v.keeper.Spread, MayRunTrial: v.mayTry})
 	v.keeper.Keep(quarantine)
 	v.chatter = chatter.New(chatter.Config{VM: v.settings.ID, Boot: v.boot}, chatter.Deps{
 		Views: v.view.Load, Reader: bodies, Acquirer: v.dispatcher, Streamer: streamer.New(v.upstream),
--- a/entry/request/chatter/chatter.go
+++ b/entry/request/chatter/chatter.go
@@ -69,7 +69,7 @@
 // A Quarantine keeps requests from upstreams that crash whoever runs them, at all
 // VMs.
 type Quarantine interface {
-	Came(f fingerprinter.Fingerprint) (after time.Duration, held bool)
+	Arrived(f fingerprinter.Fingerprint) (after time.Duration, held bool)
 	Held(f fingerprinter.Fingerprint) (after time.Duration, held bool)
 	Lost(f fingerprinter.Fingerprint, upstream string, born int64) (losses int)
 	Served(f fingerprinter.Fingerprint)
@@ -186,7 +186,7 @@
 		return nil, refusal
 	}
 	fingerprint := fingerprinter.Of(&fingerprinter.Request{Team: team.Name, Method: q.Method, Target: q.URL.Path, Body: body.Data})
-	if after, held := c.quarantine.Came(fingerprint); held {
+	if after, held := c.quarantine.Arrived(fingerprint); held {
 		body.Release()
 		return nil, quarantined(after)
 	}
--- a/entry/request/chatter/fake_test.go
+++ b/entry/request/chatter/fake_test.go
@@ -215,7 +215,7 @@
 		Canceller:  r.cancels,
 		Watcher:    deaf{},
 		Retrier:    retrier.New(retrier.Config{}, rand.New(rand.NewPCG(1, 2))),
-		Quarantine: quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Spread: func() {}, MayTry: nobody}),
+		Quarantine: quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: nobody}),
 		Meter:      meter.New(),
 		Now:        time.Now,
 	})
--- a/entry/request/passer/passer.go
+++ b/entry/request/passer/passer.go
@@ -53,7 +53,7 @@
 // A Quarantine keeps requests from upstreams that crash whoever runs them, at all
 // VMs.
 type Quarantine interface {
-	Came(f fingerprinter.Fingerprint) (after time.Duration, held bool)
+	Arrived(f fingerprinter.Fingerprint) (after time.Duration, held bool)
 	Held(f fingerprinter.Fingerprint) (after time.Duration, held bool)
 	Lost(f fingerprinter.Fingerprint, upstream string, born int64) (losses int)
 	Served(f fingerprinter.Fingerprint)
@@ -149,7 +149,7 @@
 		return
 	}
 	// A repeated key gets its first outcome, also while the call is held.
-	if after, held := p.deps.Quarantine.Came(c.fingerprint); held {
+	if after, held := p.deps.Quarantine.Arrived(c.fingerprint); held {
 		p.refuse(w, quarantined(after))
 		return
 	}
--- a/entry/request/passer/passer_test.go
+++ b/entry/request/passer/passer_test.go
@@ -101,7 +101,7 @@
 		Reader:   &reader.Reader{Most: 4096, Budget: bounder.New(1 << 20), Patience: time.Second},
 		Acquirer: p, Watcher: deaf{}, Meter: meter.New(), Now: time.Now,
 		Retrier:    retrier.New(retrier.Config{}, rand.New(rand.NewPCG(1, 2))),
-		Quarantine: quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Spread: func() {}, MayTry: nobody}),
+		Quarantine: quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: nobody}),
 	})
 	s := httptest.NewServer(handler)
 	t.Cleanup(s.Close)
--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -38,7 +38,7 @@
 // A try is one sending that brought the head of an answer.
 type try struct {
 	grant    *allocator.Place
-	holding  *reserver.Holding
+	holding  *reserver.Reservation
 	exchange *carrier.Exchange
 	verdict  Verdict
 	watch    *watch
@@ -91,7 +91,7 @@
 // begin sends the request until an upstream answers it, or gives the refusal
 // with which it ends.
 func (r *Relayer) begin(ctx context.Context, j *job) (*try, *refuser.Refusal) {
-	ctx, release := r.deps.Quarantine.Guard(ctx, j.fingerprint)
+	ctx, release := r.deps.Quarantine.CancelWhenHeld(ctx, j.fingerprint)
 	defer release()
 	for {
 		t, refusal := r.place(ctx, j)
@@ -178,10 +178,10 @@
 
 // reserve sets memory aside where the grant asks for it.
 func (r *Relayer) reserve(ctx context.Context, j *job, t *try) bool {
-	var parts []reserver.Part
+	var parts []reserver.EngineMemory
 	for _, h := range t.grant.Helpers {
 		if h.Tokens > 0 {
-			parts = append(parts, reserver.Part{Address: h.Address, Tokens: h.Tokens})
+			parts = append(parts, reserver.EngineMemory{Address: h.Address, Tokens: h.Tokens})
 		}
 	}
 	if len(parts) == 0 {
--- a/entry/request/relayer/harness_test.go
+++ b/entry/request/relayer/harness_test.go
@@ -228,7 +228,7 @@
 			Rejected: func(status int, h http.Header) bool { return dialect{}.Verdict(status, h).NotRun },
 		}),
 		Idle:       func(int, string) int { return 0 },
-		Quarantine: late{&b.held, quarantiner.New(quarantiner.Deps{Meter: b.meter, Now: time.Now, Log: zerolog.Nop(), Spread: func() {}, MayTry: func(quarantiner.Fingerprint) bool { return false }})},
+		Quarantine: late{&b.held, quarantiner.New(quarantiner.Deps{Meter: b.meter, Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: func(quarantiner.Fingerprint) bool { return false }})},
 		Budget:     b.purse, Bodies: bounder.New(8 << 20), Meter: b.meter, Now: time.Now, Log: zerolog.Nop(),
 		Leaving: func() (bool, time.Duration) { return b.left.Load() > 0, time.Duration(b.left.Load()) },
 	})
--- a/entry/request/relayer/relayer.go
+++ b/entry/request/relayer/relayer.go
@@ -130,13 +130,13 @@
 // A Quarantine keeps requests from upstreams that crash whoever runs them, at all
 // VMs.
 type Quarantine interface {
-	// Came says whether a request that has come is held, and after how long without
+	// Arrived says whether a request that has come is held, and after how long without
 	// its coming again it is not; Held is the same later on.
-	Came(f fingerprinter.Fingerprint) (after time.Duration, held bool)
+	Arrived(f fingerprinter.Fingerprint) (after time.Duration, held bool)
 	Held(f fingerprinter.Fingerprint) (after time.Duration, held bool)
-	// Guard gives a context that ends when the request turns out to be held, until
+	// CancelWhenHeld gives a context that ends when the request turns out to be held, until
 	// it is released.
-	Guard(ctx context.Context, f fingerprinter.Fingerprint) (guarded context.Context, release func())
+	CancelWhenHeld(ctx context.Context, f fingerprinter.Fingerprint) (guarded context.Context, release func())
 	// Lost notes an upstream that was lost while it ran a request, and says how many
 	// were. Served notes a request that was answered whole.
 	Lost(f fingerprinter.Fingerprint, upstream string, born int64) (losses int)
@@ -285,7 +285,7 @@
 	j.fingerprint = fingerprinter.Of(&fingerprinter.Request{
 		Team: j.teamName(), Method: j.request.Method, Host: j.request.Host, Target: j.request.RequestURI, Body: body.Data,
 	})
-	if after, held := r.deps.Quarantine.Came(j.fingerprint); held {
+	if after, held := r.deps.Quarantine.Arrived(j.fingerprint); held {
 		return quarantined(after)
 	}
 	return nil
