--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -272,9 +272,9 @@
 		r.gone = true
 		return
 	}
-	r.asked = p.vms[r.vm].allocator.Ask(scheduler.Call{Service: p.service, Ask: placer.Ask{
-		Prompt: r.prompt, Output: k.Bound, Pause: float64(k.Pause.Milliseconds()), Arrived: at(r.at),
-		Objective: at(r.at).Add(k.Objective), Deadline: at(r.at).Add(k.Limit), Leaves: at(r.leaves()),
+	r.asked = p.vms[r.vm].allocator.Ask(scheduler.Call{Service: p.service, Ask: placer.Request{
+		Prompt: r.prompt, Output: k.Bound, MaxPause: float64(k.Pause.Milliseconds()), Arrived: at(r.at),
+		Objective: at(r.at).Add(k.Objective), Deadline: at(r.at).Add(k.Limit), CallerTimeout: at(r.leaves()),
 	}})
 	p.open = append(p.open, r)
 }
@@ -327,7 +327,7 @@
 	r.grant, r.sent = g, p.now
 	names := r.upstreams()
 	r.unread = len(names)
-	r.part = placer.Read(p.service.Engine, r.prompt, len(names))
+	r.part = placer.PrefillTime(p.service.Engine, r.prompt, len(names))
 	for i, name := range names {
 		e := p.byName[name]
 		if e.lost {
--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -81,7 +81,7 @@
 	for _, r := range e.writing {
 		context += r.context
 	}
-	time := placer.Pass(e.figures, len(e.writing), context)
+	time := placer.DecodePassTime(e.figures, len(e.writing), context)
 	// A pass reads no more than its steps hold.
 	room := float64(e.figures.Stride*e.figures.Chunk) / e.figures.ReadRate
 	slices.SortStableFunc(e.parts, func(a, b *part) int { return order(a) - order(b) })
@@ -95,7 +95,7 @@
 		room -= take
 		time += take
 	}
-	e.read += time - placer.Pass(e.figures, len(e.writing), context)
+	e.read += time - placer.DecodePassTime(e.figures, len(e.writing), context)
 	e.busy = true
 	e.ends += max(time, minPass)
 }
--- a/entry/process/allocator/answer.go
+++ b/entry/process/allocator/answer.go
@@ -88,9 +88,9 @@
 	delete(a.asks, o.id)
 	p := &Place{
 		Upstream: a.upstream(w.Main), Estimate: float64(w.Estimate), Leader: vm, Waits: waitsOf(w.Waits), from: from,
-		Load: placer.Load{Streams: w.Streams, Context: w.Context, Unread: float64(w.Unread)},
+		Load: placer.Load{Streams: w.Streams, ContextTokens: w.Context, PendingPrefill: float64(w.Unread)},
 		work: scheduler.Work{
-			Prompt: o.call.Ask.Prompt, Output: o.call.Ask.Output, Pause: o.call.Ask.Pause, Read: float64(w.Read), Long: w.Long, Main: w.Main.ID,
+			Prompt: o.call.Ask.Prompt, Output: o.call.Ask.Output, Pause: o.call.Ask.MaxPause, Read: float64(w.Read), Long: w.Long, Main: w.Main.ID,
 		},
 	}
 	p.Waits.Add(now.Sub(o.since))
--- a/entry/process/allocator/asker.go
+++ b/entry/process/allocator/asker.go
@@ -163,7 +163,7 @@
 }
 
 func (o *ask) mostSilent() int {
-	if e := o.call.Service.Engine; e != nil && !placer.Short(e, o.call.Ask.Prompt) {
+	if e := o.call.Service.Engine; e != nil && !placer.IsShort(e, o.call.Ask.Prompt) {
 		return mostSilentLong
 	}
 	return mostSilent
--- a/entry/process/allocator/leader.go
+++ b/entry/process/allocator/leader.go
@@ -380,7 +380,7 @@
 	w := wireGrant{
 		ID: id, Main: wireUpstream{ID: g.Upstream.ID, Address: g.Upstream.Address},
 		Read: float32(g.Work.Read), Estimate: float32(g.Estimate), Long: g.Work.Long,
-		Streams: g.Load.Streams, Context: g.Load.Context, Unread: float32(g.Load.Unread), Waits: wireWaits(g.Waits),
+		Streams: g.Load.Streams, Context: g.Load.ContextTokens, Unread: float32(g.Load.PendingPrefill), Waits: wireWaits(g.Waits),
 	}
 	for _, p := range g.Helpers {
 		w.Helpers = append(w.Helpers, wireUpstream{ID: p.ID, Address: p.Address, Tokens: p.Tokens})
--- a/entry/process/allocator/message.go
+++ b/entry/process/allocator/message.go
@@ -108,9 +108,9 @@
 func (o *ask) wire(now time.Time) wireAsk {
 	c := &o.call
 	return wireAsk{
-		ID: o.id, Group: o.group.wire(), Hops: o.hops, Prompt: c.Ask.Prompt, Output: c.Ask.Output, Pause: float32(c.Ask.Pause),
+		ID: o.id, Group: o.group.wire(), Hops: o.hops, Prompt: c.Ask.Prompt, Output: c.Ask.Output, Pause: float32(c.Ask.MaxPause),
 		Arrived: until(now, c.Ask.Arrived), Objective: until(now, c.Ask.Objective), Deadline: until(now, c.Ask.Deadline),
-		Leaves: until(now, c.Ask.Leaves), Stop: until(now, c.Stop),
+		Leaves: until(now, c.Ask.CallerTimeout), Stop: until(now, c.Stop),
 		Priority: c.Priority, Team: c.Team, Zone: c.Zone, Tried: c.Ask.Tried, Avoid: c.Avoid,
 	}
 }
@@ -118,9 +118,9 @@
 func (w *wireAsk) call(now time.Time) scheduler.Call {
 	return scheduler.Call{
 		Priority: w.Priority, Team: w.Team, Zone: w.Zone, Avoid: w.Avoid, Stop: moment(now, w.Stop),
-		Ask: placer.Ask{
-			Prompt: w.Prompt, Output: w.Output, Pause: float64(w.Pause), Arrived: moment(now, w.Arrived), Objective: moment(now, w.Objective),
-			Deadline: moment(now, w.Deadline), Leaves: moment(now, w.Leaves), Tried: w.Tried,
+		Ask: placer.Request{
+			Prompt: w.Prompt, Output: w.Output, MaxPause: float64(w.Pause), Arrived: moment(now, w.Arrived), Objective: moment(now, w.Objective),
+			Deadline: moment(now, w.Deadline), CallerTimeout: moment(now, w.Leaves), Tried: w.Tried,
 		},
 	}
 }
--- a/entry/process/allocator/network_test.go
+++ b/entry/process/allocator/network_test.go
@@ -177,8 +177,8 @@
 }
 
 func (n *network) call() scheduler.Call {
-	return scheduler.Call{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Ask: placer.Ask{
-		Prompt: 1000, Output: 40, Pause: 250, Arrived: n.now, Objective: n.now.Add(time.Second), Deadline: n.now.Add(10 * time.Second),
+	return scheduler.Call{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Ask: placer.Request{
+		Prompt: 1000, Output: 40, MaxPause: 250, Arrived: n.now, Objective: n.now.Add(time.Second), Deadline: n.now.Add(10 * time.Second),
 	}}
 }
 
--- a/entry/process/allocator/overflow.go
+++ b/entry/process/allocator/overflow.go
@@ -73,7 +73,7 @@
 		}
 		sum.engines++
 		sum.free += max(0, u.Slots-work[u.ID].Streams)
-		sum.reading += work[u.ID].Unread
+		sum.reading += work[u.ID].PendingPrefill
 	}
 	sum.reading += l.scheduler.Reading()
 	if sum.engines > 0 {
@@ -92,7 +92,7 @@
 	}
 	here := a.summary(now, l)
 	e := c.Service.Engine
-	long := e != nil && !placer.Short(e, c.Ask.Prompt)
+	long := e != nil && !placer.IsShort(e, c.Ask.Prompt)
 	var best *summary
 	for other, s := range a.summaries {
 		if other.Service != g.Service || other.Zone == g.Zone || now.Sub(s.at) > freshSummary || s.engines == 0 {
@@ -110,7 +110,7 @@
 	}
 	best.free--
 	if e != nil {
-		best.reading += placer.Read(e, c.Ask.Prompt, 1) / float64(best.engines)
+		best.reading += placer.PrefillTime(e, c.Ask.Prompt, 1) / float64(best.engines)
 	}
 	a.count("asks.elsewhere")
 	return zone, true
--- a/entry/process/allocator/usual.go
+++ b/entry/process/allocator/usual.go
@@ -11,23 +11,23 @@
 	// stake is that of the requests whose callers bear the shortest pause: most
 	// streams are theirs.
 	pause float64
-	stake placer.Stakes
+	stake placer.PauseWeights
 }
 
 // note adds the upstream of one place, and what the request has at stake.
-func (u *usual) note(l placer.Load, a placer.Ask) {
+func (u *usual) note(l placer.Load, a placer.Request) {
 	u.streams += weight * (float64(l.Streams) - u.streams)
-	u.context += weight * (float64(l.Context) - u.context)
-	if u.pause == 0 || a.Pause <= u.pause {
-		u.pause, u.stake = a.Pause, a.Stake()
+	u.context += weight * (float64(l.ContextTokens) - u.context)
+	if u.pause == 0 || a.MaxPause <= u.pause {
+		u.pause, u.stake = a.MaxPause, a.PauseWeights()
 	}
 }
 
 // load is that as a load.
 func (u *usual) load() (l placer.Load) {
-	l.Streams, l.Context = int(u.streams), int(u.context)
+	l.Streams, l.ContextTokens = int(u.streams), int(u.context)
 	for i, n := range u.stake {
-		l.Stakes[i] = n * int32(l.Streams)
+		l.PauseWeights[i] = n * int32(l.Streams)
 	}
 	return l
 }
--- a/entry/process/dispatcher/pool.go
+++ b/entry/process/dispatcher/pool.go
@@ -217,8 +217,8 @@
 			grant.Done(Cancelled)
 			continue
 		}
-		p.ranker.Note(now, k.Team, k.Share, k.Tokens)
-		grant.Over = p.ranker.Over(now, k.Team)
+		p.ranker.Record(now, k.Team, k.Share, k.Tokens)
+		grant.Over = p.ranker.OverShare(now, k.Team)
 		p.reply(k.ID, w, reply{grant: grant})
 	}
 	p.ask()
--- a/entry/process/scheduler/grant.go
+++ b/entry/process/scheduler/grant.go
@@ -62,18 +62,18 @@
 	for _, n := range w.Tokens {
 		context -= n
 	}
-	part := placer.Load{Unread: w.Read}
+	part := placer.Load{PendingPrefill: w.Read}
 	if w.Long {
 		part.Parts = 1
 	}
 	first := part
 	first.Starting = 1
-	stake := placer.Ask{Prompt: w.Prompt, Pause: w.Pause}.Stake()
-	all := []share{{w.Main, first, placer.Load{Streams: 1, Context: max(0, context), Stakes: stake}}}
+	stake := placer.Request{Prompt: w.Prompt, MaxPause: w.Pause}.PauseWeights()
+	all := []share{{w.Main, first, placer.Load{Streams: 1, ContextTokens: max(0, context), PauseWeights: stake}}}
 	for i, id := range w.Helpers {
 		held := placer.Load{}
 		if i < len(w.Tokens) {
-			held.Context = w.Tokens[i]
+			held.ContextTokens = w.Tokens[i]
 		}
 		all = append(all, share{id, part, held})
 	}
@@ -81,19 +81,19 @@
 }
 
 // grant takes the chosen places. The caller holds the lock.
-func (s *Scheduler) grant(now time.Time, w *waiter, c placer.Choice, states []tracker.State) *Grant {
+func (s *Scheduler) grant(now time.Time, w *waiter, c placer.Placement, states []tracker.State) *Grant {
 	main := states[c.Main]
-	g := &Grant{Upstream: main, Estimate: c.First, scheduler: s}
+	g := &Grant{Upstream: main, Estimate: c.TimeToFirstEvent, scheduler: s}
 	if l, ok := s.work[main.ID]; ok {
 		g.Load = *l
 	}
 	aside := make(map[int]int)
-	for _, t := range c.Tickets {
+	for _, t := range c.Reservations {
 		aside[t.Candidate] = t.Tokens
 	}
 	g.Work = Work{
-		Prompt: w.call.Ask.Prompt, Output: w.call.Ask.Output, Pause: w.call.Ask.Pause,
-		Read: c.Read, Long: w.times.long, Main: main.ID,
+		Prompt: w.call.Ask.Prompt, Output: w.call.Ask.Output, Pause: w.call.Ask.MaxPause,
+		Read: c.PrefillTime, Long: w.times.long, Main: main.ID,
 	}
 	for _, i := range c.Helpers {
 		g.Helpers = append(g.Helpers, Helper{states[i].Upstream, aside[i]})
@@ -103,7 +103,7 @@
 	g.take()
 	s.coldOf(main.ID).Sent(now)
 	s.note(&main)
-	s.rankerOf(w.call.Service.Name).Note(now, w.call.Team, oneShare, max(1, w.call.Ask.Prompt+w.call.Ask.Output))
+	s.rankerOf(w.call.Service.Name).Record(now, w.call.Team, oneShare, max(1, w.call.Ask.Prompt+w.call.Ask.Output))
 	return g
 }
 
--- a/entry/process/scheduler/overload_test.go
+++ b/entry/process/scheduler/overload_test.go
@@ -87,9 +87,9 @@
 			continue
 		}
 		a := &arrival{at: p.now}
-		c := scheduler.Call{Service: service, Ask: placer.Ask{
-			Prompt: 5000, Output: 3400, Pause: 250, Arrived: p.now, Objective: p.now.Add(objective),
-			Leaves: p.now.Add(2 * time.Second), Deadline: p.now.Add(10 * time.Second),
+		c := scheduler.Call{Service: service, Ask: placer.Request{
+			Prompt: 5000, Output: 3400, MaxPause: 250, Arrived: p.now, Objective: p.now.Add(objective),
+			CallerTimeout: p.now.Add(2 * time.Second), Deadline: p.now.Add(10 * time.Second),
 		}}
 		a.out = p.ask(c)
 		all = append(all, a)
--- a/entry/process/scheduler/queue.go
+++ b/entry/process/scheduler/queue.go
@@ -32,7 +32,7 @@
 		if w.times.late(now) {
 			w.late = 1
 		}
-		if s.rankerOf(w.call.Service.Name).Over(now, w.call.Team) {
+		if s.rankerOf(w.call.Service.Name).OverShare(now, w.call.Team) {
 			w.over = 1
 		}
 	}
@@ -138,12 +138,12 @@
 	if !ok {
 		// One that no engine can begin in time must not hold back those behind it
 		// that have more of theirs left.
-		w.holds, w.next = choice.Lack != placer.LackTime, now.Add(retryEvery)
+		w.holds, w.next = choice.Reason != placer.TooLate, now.Add(retryEvery)
 		if !w.holds {
 			w.next = now.Add(timeEvery)
 		}
 		l.blocked[k] = w.holds
-		w.waits.turn(now, reason(choice.Lack))
+		w.waits.turn(now, reason(choice.Reason))
 		return reply{}, false
 	}
 	g := s.grant(now, w, choice, states)
@@ -160,11 +160,11 @@
 	return slices.DeleteFunc(states, func(u tracker.State) bool { return u.Zone != s.zone })
 }
 
-func (s *Scheduler) choose(now time.Time, w *waiter, cs []placer.Candidate) (placer.Choice, bool) {
+func (s *Scheduler) choose(now time.Time, w *waiter, cs []placer.Candidate) (placer.Placement, bool) {
 	if w.call.Service.Engine == nil {
-		return placer.Plain(w.call.Ask, cs)
+		return placer.ChoosePlain(w.call.Ask, cs)
 	}
-	return placer.Engine(w.call.Service.Engine, w.call.Ask, cs, now, w.times.urgency(now))
+	return placer.ChooseEngines(w.call.Service.Engine, w.call.Ask, cs, now, w.times.urgency(now))
 }
 
 func (s *Scheduler) candidates(now time.Time, call Call, states []tracker.State) []placer.Candidate {
@@ -172,19 +172,19 @@
 	for i := range states {
 		u := &states[i]
 		c := placer.Candidate{
-			ID: u.ID, Zone: u.Zone, Slots: u.Slots, Near: u.Zone == call.Zone, Room: unbounded,
-			Cold: now.Before(u.ColdUntil), Silent: now.Before(u.SilentUntil) || slices.Contains(call.Avoid, u.ID),
-			Leaves: now.Before(u.LeavesUntil), Failed: u.Outcomes.Failed, Answered: u.Outcomes.Answered,
+			ID: u.ID, Zone: u.Zone, Slots: u.Slots, SameZone: u.Zone == call.Zone, Quota: unbounded,
+			Cold: now.Before(u.ColdUntil), Unreachable: now.Before(u.SilentUntil) || slices.Contains(call.Avoid, u.ID),
+			Leaving: now.Before(u.LeavesUntil), Failed: u.Outcomes.Failed, Answered: u.Outcomes.Answered,
 		}
 		if l, ok := s.work[u.ID]; ok {
 			c.Load = *l
 		}
 		c.Load.Add(s.unknownAt(u.Slots))
 		if rate := call.Service.ColdRate; rate > 0 && c.Cold {
-			c.Room = s.coldOf(u.ID).Room(now, s.deps.ColdPart(u.ID, rate))
+			c.Quota = s.coldOf(u.ID).Room(now, s.deps.ColdPart(u.ID, rate))
 		}
 		if u.Limit.Limited {
-			c.Room = min(c.Room, s.room(now, u))
+			c.Quota = min(c.Quota, s.room(now, u))
 		}
 		cs = append(cs, c)
 	}
--- a/entry/process/scheduler/scheduler.go
+++ b/entry/process/scheduler/scheduler.go
@@ -47,7 +47,7 @@
 // A Call is a request for a place.
 type Call struct {
 	Service *matcher.Service
-	Ask     placer.Ask
+	Ask     placer.Request
 	// Priority is the request's rank, 0 being the first.
 	Priority int
 	// Team is whose it is.
@@ -214,7 +214,7 @@
 	if sign > 0 {
 		sum.Add(l)
 	} else {
-		sum.Take(l)
+		sum.Sub(l)
 	}
 	if *sum == (placer.Load{}) {
 		delete(s.work, id)
@@ -254,7 +254,7 @@
 	sum := 0.0
 	for _, w := range s.waiting {
 		if e := w.call.Service.Engine; e != nil {
-			sum += placer.Read(e, w.call.Ask.Prompt, 1)
+			sum += placer.PrefillTime(e, w.call.Ask.Prompt, 1)
 		}
 	}
 	return sum
--- a/entry/process/scheduler/scheduler_test.go
+++ b/entry/process/scheduler/scheduler_test.go
@@ -47,8 +47,8 @@
 }
 
 func (f *fleet) call(prompt int, limit time.Duration) scheduler.Call {
-	return scheduler.Call{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Ask: placer.Ask{
-		Prompt: prompt, Output: 40, Pause: 250, Arrived: f.now, Objective: f.now.Add(limit / 10), Deadline: f.now.Add(limit),
+	return scheduler.Call{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Ask: placer.Request{
+		Prompt: prompt, Output: 40, MaxPause: 250, Arrived: f.now, Objective: f.now.Add(limit / 10), Deadline: f.now.Add(limit),
 	}}
 }
 
@@ -334,7 +334,7 @@
 func TestRefusedBeforeTheCallerLeaves(t *testing.T) {
 	f := full(t)
 	c := f.call(1000, 100*time.Second)
-	c.Ask.Leaves = f.now.Add(2 * time.Second)
+	c.Ask.CallerTimeout = f.now.Add(2 * time.Second)
 	out := f.ask(c)
 	f.now = f.now.Add(1700 * time.Millisecond)
 	f.Pump()
@@ -378,7 +378,7 @@
 // VM that has not read the list for long cannot say so, and waits.
 func TestServiceWithoutUpstreamsRefusesAtOnce(t *testing.T) {
 	f := newFleet(0)
-	plain := scheduler.Call{Service: &matcher.Service{Name: "s"}, Ask: placer.Ask{Arrived: f.now, Objective: f.now.Add(300 * time.Millisecond), Deadline: f.now.Add(800 * time.Millisecond)}}
+	plain := scheduler.Call{Service: &matcher.Service{Name: "s"}, Ask: placer.Request{Arrived: f.now, Objective: f.now.Add(300 * time.Millisecond), Deadline: f.now.Add(800 * time.Millisecond)}}
 	for _, c := range []scheduler.Call{plain, f.call(1000, 10*time.Second), f.call(60_000, 10*time.Second)} {
 		g, refusal := f.acquire(t, c)
 		assert.Assert(t, g == nil)
--- a/entry/process/scheduler/times.go
+++ b/entry/process/scheduler/times.go
@@ -68,19 +68,19 @@
 	if e == nil {
 		return times{start: c.Ask.Objective, last: c.Ask.Deadline.Add(-plainWork), takes: plainWork}
 	}
-	long := !placer.Short(e, c.Ask.Prompt)
-	read := placer.Read(e, c.Ask.Prompt, 1)
+	long := !placer.IsShort(e, c.Ask.Prompt)
+	read := placer.PrefillTime(e, c.Ask.Prompt, 1)
 	if long {
-		read = placer.Read(e, c.Ask.Prompt, placer.MostParts+1)
+		read = placer.PrefillTime(e, c.Ask.Prompt, placer.MaxHelpers+1)
 	}
-	pass := placer.Pass(e, usualStreams, usualContext)
+	pass := placer.DecodePassTime(e, usualStreams, usualContext)
 	first := milliseconds(1.5*pass + read)
 	// Whether an answer is as long as it may be is not known beforehand: refused
 	// for that, most requests would lose an answer that they could have had.
-	answer := milliseconds(pass * placer.UsualOutput * float64(c.Ask.Output) / float64(max(1, e.Stride)))
+	answer := milliseconds(pass * placer.TypicalOutputShare * float64(c.Ask.Output) / float64(max(1, e.Stride)))
 	leaves := time.Time{}
-	if !c.Ask.Leaves.IsZero() {
-		leaves = c.Ask.Leaves.Add(-first - margin)
+	if !c.Ask.CallerTimeout.IsZero() {
+		leaves = c.Ask.CallerTimeout.Add(-first - margin)
 	}
 	return times{
 		start:  c.Ask.Objective.Add(-first - margin),
@@ -88,7 +88,7 @@
 		leaves: leaves,
 		takes:  first + answer,
 		long:   long,
-		size:   bits.Len(uint(placer.Read(e, c.Ask.Prompt, 1) / sizeUnit)),
+		size:   bits.Len(uint(placer.PrefillTime(e, c.Ask.Prompt, 1) / sizeUnit)),
 	}
 }
 
@@ -97,11 +97,11 @@
 func (t times) urgency(now time.Time) placer.Urgency {
 	switch {
 	case t.last.Sub(now) < rush:
-		return placer.Last
+		return placer.LastChance
 	case t.late(now):
 		return placer.Late
 	}
-	return placer.Patient
+	return placer.OnTime
 }
 
 func milliseconds(ms float64) time.Duration {
--- a/entry/process/scheduler/wait.go
+++ b/entry/process/scheduler/wait.go
@@ -11,7 +11,7 @@
 
 const (
 	// waitBehind is that an earlier request for the same places waits.
-	waitBehind = reason(placer.Lacks) + iota
+	waitBehind = reason(placer.NumReasons) + iota
 	// waitSync is that it was not yet known what is under way, or whether
 	// whoever decides can be heard.
 	waitSync
@@ -26,7 +26,7 @@
 	if r == waitSync {
 		return "sync"
 	}
-	return placer.Lack(r).String()
+	return placer.Reason(r).String()
 }
 
 // Waits is how long a request waited, by reason.
--- a/entry/request/chatter/run.go
+++ b/entry/request/chatter/run.go
@@ -99,9 +99,9 @@
 		j.avoid = nil
 	}
 	decision := c.retrier.Decide(c.now(), retrier.Attempt{
-		Repeatable: true, Sent: f.sent, FirstByte: a.first, Tries: j.tries, Deadline: j.deadline,
+		Repeatable: true, MayHaveRun: f.sent, ResponseStarted: a.first, Attempts: j.tries, Deadline: j.deadline,
 	})
-	if decision.Again && ctx.Err() == nil && wait(ctx, decision.After) {
+	if decision.Retry && ctx.Err() == nil && wait(ctx, decision.Delay) {
 		c.meter.Count("chat.retries", 1)
 		return true
 	}
--- a/entry/request/passer/send.go
+++ b/entry/request/passer/send.go
@@ -93,12 +93,12 @@
 		c.avoid = nil
 	}
 	decision := p.deps.Retrier.Decide(p.deps.Now(), retrier.Attempt{
-		Repeatable: c.repeatable, Sent: f.sent, Tries: c.tries, Deadline: c.deadline,
+		Repeatable: c.repeatable, MayHaveRun: f.sent, Attempts: c.tries, Deadline: c.deadline,
 	})
-	if !decision.Again {
+	if !decision.Retry {
 		return false
 	}
-	t := time.NewTimer(decision.After)
+	t := time.NewTimer(decision.Delay)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
--- a/entry/request/placer/bench_test.go
+++ b/entry/request/placer/bench_test.go
@@ -11,10 +11,10 @@
 func BenchmarkLongPrompt(b *testing.B) {
 	cs := idle(23)
 	for i := range cs {
-		cs[i].Load = placer.Load{Streams: i % 14, Context: 8000 * (i % 14), Stakes: stakes(i % 14)}
+		cs[i].Load = placer.Load{Streams: i % 14, ContextTokens: 8000 * (i % 14), PauseWeights: stakes(i % 14)}
 	}
 	for b.Loop() {
-		placer.Engine(engine, long(133_000), cs, now, placer.Patient)
+		placer.ChooseEngines(engine, long(133_000), cs, now, placer.OnTime)
 	}
 }
 
@@ -22,6 +22,6 @@
 func BenchmarkShortPrompt(b *testing.B) {
 	cs := idle(23)
 	for b.Loop() {
-		placer.Engine(engine, short(), cs, now, placer.Patient)
+		placer.ChooseEngines(engine, short(), cs, now, placer.OnTime)
 	}
 }
--- a/entry/request/placer/engine.go
+++ b/entry/request/placer/engine.go
@@ -19,10 +19,10 @@
 	"github.com/heathervane/heathervane/entry/version/matcher"
 )
 
-// Read is how long one engine takes to read its part of a prompt that so many
+// PrefillTime is how long one engine takes to read its part of a prompt that so many
 // engines read together, in milliseconds. Each part has its share of the pairs
 // of the whole prompt.
-func Read(e *matcher.Engine, tokens, engines int) float64 {
+func PrefillTime(e *matcher.Engine, tokens, engines int) float64 {
 	if tokens <= 0 || e.ReadRate <= 0 {
 		return 0
 	}
@@ -31,9 +31,9 @@
 	return (n/e.ReadRate + pairs*e.Pairs) / float64(max(1, engines))
 }
 
-// Pass is how long a pass takes in milliseconds in which so many streams write
+// DecodePassTime is how long a pass takes in milliseconds in which so many streams write
 // and nothing is read.
-func Pass(e *matcher.Engine, streams, context int) float64 {
+func DecodePassTime(e *matcher.Engine, streams, context int) float64 {
 	if streams <= 0 {
 		return 0
 	}
@@ -41,12 +41,12 @@
 	return float64(max(1, e.Stride)) * step
 }
 
-// First is an estimate of the time to the first token in milliseconds, for a
+// TimeToFirstToken is an estimate of the time to the first token in milliseconds, for a
 // prompt whose own part takes read there: half of the pass that runs, and the
 // pass that reads the prompt together with all that waits.
-func First(e *matcher.Engine, l Load, read float64) float64 {
-	pass := Pass(e, l.Streams, l.Context)
-	return 0.5*pass + l.Unread + read + math.Max(pass, Pass(e, 1, 0))
+func TimeToFirstToken(e *matcher.Engine, l Load, read float64) float64 {
+	pass := DecodePassTime(e, l.Streams, l.ContextTokens)
+	return 0.5*pass + l.PendingPrefill + read + math.Max(pass, DecodePassTime(e, 1, 0))
 }
 
 // A Load is the work under way at an upstream, from this VM and from the others
@@ -54,45 +54,45 @@
 type Load struct {
 	// Streams is the requests that run or wait there.
 	Streams int
-	// Context is the prompt and answer tokens of these requests, which is
+	// ContextTokens is the prompt and answer tokens of these requests, which is
 	// also the memory that they take.
-	Context int
-	// Unread is the reading time in milliseconds of prompts, and parts of
+	ContextTokens int
+	// PendingPrefill is the reading time in milliseconds of prompts, and parts of
 	// prompts, whose first token has not come.
-	Unread float64
+	PendingPrefill float64
 	// Starting is the requests that wait there for their first token.
 	Starting int
 	// Parts is how many parts of long prompts it reads.
 	Parts int
-	// Stakes are what the streams there have to lose if they stand still for
+	// PauseWeights are what the streams there have to lose if they stand still for
 	// longer than their callers bear.
-	Stakes Stakes
+	PauseWeights PauseWeights
 }
 
 // Add sums two loads.
 func (l *Load) Add(o Load) {
 	l.Streams += o.Streams
-	l.Context += o.Context
-	l.Unread += o.Unread
+	l.ContextTokens += o.ContextTokens
+	l.PendingPrefill += o.PendingPrefill
 	l.Starting += o.Starting
 	l.Parts += o.Parts
-	for i, n := range o.Stakes {
-		l.Stakes[i] += n
+	for i, n := range o.PauseWeights {
+		l.PauseWeights[i] += n
 	}
 }
 
-// Take subtracts a load.
-func (l *Load) Take(o Load) {
+// Sub subtracts a load.
+func (l *Load) Sub(o Load) {
 	l.Streams -= o.Streams
-	l.Context -= o.Context
-	l.Unread -= o.Unread
+	l.ContextTokens -= o.ContextTokens
+	l.PendingPrefill -= o.PendingPrefill
 	l.Starting -= o.Starting
 	l.Parts -= o.Parts
-	for i, n := range o.Stakes {
-		l.Stakes[i] -= n
+	for i, n := range o.PauseWeights {
+		l.PauseWeights[i] -= n
 	}
 	if l.Starting == 0 && l.Parts == 0 {
 		// Nothing is being read, so that sums of fractions leave nothing behind.
-		l.Unread = 0
+		l.PendingPrefill = 0
 	}
 }
--- a/entry/request/placer/placer.go
+++ b/entry/request/placer/placer.go
@@ -13,8 +13,8 @@
 	// read by one engine: below a pass of some streams, a part more or less
 	// changes no pass that anybody notices.
 	shortRead = 100.0
-	// MostParts is the most engines that help to read, the engines' own bound.
-	MostParts = 16
+	// MaxHelpers is the most engines that help to read, the engines' own bound.
+	MaxHelpers = 16
 	// far is what another availability zone costs in milliseconds: the way
 	// there and back.
 	far = 3.0
@@ -51,93 +51,93 @@
 	ID, Zone string
 	Load     Load
 	Slots    int
-	// Room is how many requests may be sent there now; cold upstreams bear
+	// Quota is how many requests may be sent there now; cold upstreams bear
 	// few. Silent says that connections to it have just failed.
-	Room   int
-	Cold   bool
-	Silent bool
-	// Leaves says that it seems to leave: it helps nobody any more, and a stream
+	Quota       int
+	Cold        bool
+	Unreachable bool
+	// Leaving says that it seems to leave: it helps nobody any more, and a stream
 	// there may be cut.
-	Leaves bool
+	Leaving bool
 	// Failed and Answered are recent requests of all VMs that failed there or
 	// were answered, older ones counting less.
 	Failed, Answered float64
-	// Near says that it is in this VM's zone.
-	Near bool
+	// SameZone says that it is in this VM's zone.
+	SameZone bool
 }
 
-// An Ask is a request for a place.
-type Ask struct {
+// An Request is a request for a place.
+type Request struct {
 	// Prompt and Output are its tokens; zero for plain services.
 	Prompt, Output int
-	// Pause is the longest pause between events in milliseconds that its
+	// MaxPause is the longest pause between events in milliseconds that its
 	// caller bears.
-	Pause float64
+	MaxPause float64
 	// Objective is when a first event is in time, Deadline when all is over.
-	// Leaves is when the caller leaves without a first event; zero where that
+	// CallerTimeout is when the caller leaves without a first event; zero where that
 	// is not known.
-	Arrived, Objective, Deadline, Leaves time.Time
+	Arrived, Objective, Deadline, CallerTimeout time.Time
 	// Tried are upstreams that have failed this request.
 	Tried []string
 }
 
-// A Ticket is memory to be set aside at an upstream.
-type Ticket struct {
+// A Reservation is memory to be set aside at an upstream.
+type Reservation struct {
 	Candidate int
 	Tokens    int
 }
 
-// A Choice says where a request runs: at Main, read with the help of Helpers,
+// A Placement says where a request runs: at Main, read with the help of Helpers,
 // with memory set aside at those in Tickets.
-type Choice struct {
-	Main    int
-	Helpers []int
-	Tickets []Ticket
-	// Read is each part's reading time in milliseconds.
-	Read float64
-	// First is the estimated time to the first event in milliseconds.
-	First float64
-	// Lack says why there is no place, where there is none.
-	Lack Lack
+type Placement struct {
+	Main         int
+	Helpers      []int
+	Reservations []Reservation
+	// PrefillTime is each part's reading time in milliseconds.
+	PrefillTime float64
+	// TimeToFirstEvent is the estimated time to the first event in milliseconds.
+	TimeToFirstEvent float64
+	// Reason says why there is no place, where there is none.
+	Reason Reason
 }
 
-// A Lack is why there is no place for a request: of the conditions that a place
+// A Reason is why there is no place for a request: of the conditions that a place
 // must meet, the furthest one at which it fell short.
-type Lack int
+type Reason int
 
 const (
-	// LackEngine is that no upstream may be used, or none has a slot.
-	LackEngine Lack = iota
-	// LackReader is that those read parts of other long prompts.
-	LackReader
-	// LackMemory is that none, and no group, has the memory.
-	LackMemory
-	// LackHeadroom is that too little would be left for what comes next.
-	LackHeadroom
-	// LackTime is that the first event would be late.
-	LackTime
-	// LackTolerance is that too many streams of others would become late.
-	LackTolerance
-	// Lacks is how many there are.
-	Lacks
+	// NoEngine is that no upstream may be used, or none has a slot.
+	NoEngine Reason = iota
+	// NoReader is that those read parts of other long prompts.
+	NoReader
+	// NoMemory is that none, and no group, has the memory.
+	NoMemory
+	// NoHeadroom is that too little would be left for what comes next.
+	NoHeadroom
+	// TooLate is that the first event would be late.
+	TooLate
+	// TooMuchInterference is that too many streams of others would become late.
+	TooMuchInterference
+	// NumReasons is how many there are.
+	NumReasons
 )
 
 // String gives the reason in one word.
-func (l Lack) String() string {
-	words := [Lacks]string{"engine", "reader", "memory", "headroom", "time", "interference"}
-	if l < 0 || l >= Lacks {
+func (l Reason) String() string {
+	words := [NumReasons]string{"engine", "reader", "memory", "headroom", "time", "interference"}
+	if l < 0 || l >= NumReasons {
 		return "unknown"
 	}
 	return words[l]
 }
 
-// Plain chooses among the upstreams of a plain service: the one with the fewest
+// ChoosePlain chooses among the upstreams of a plain service: the one with the fewest
 // requests for its slots, this zone's first. It says false where all are full.
-func Plain(a Ask, cs []Candidate) (Choice, bool) {
+func ChoosePlain(a Request, cs []Candidate) (Placement, bool) {
 	best, least := -1, math.Inf(1)
 	for i := range cs {
 		c := &cs[i]
-		if c.Room < 1 || c.Load.Streams >= max(1, c.Slots) {
+		if c.Quota < 1 || c.Load.Streams >= max(1, c.Slots) {
 			continue
 		}
 		cost := plainSlot*float64(c.Load.Streams) + plainFailure*c.failing() + c.dislike(a)
@@ -146,25 +146,25 @@
 		}
 	}
 	if best < 0 {
-		return Choice{Lack: LackEngine}, false
+		return Placement{Reason: NoEngine}, false
 	}
-	return Choice{Main: best, First: least}, true
+	return Placement{Main: best, TimeToFirstEvent: least}, true
 }
 
 // dislike is what counts against an upstream beside its work, in milliseconds.
 // Those that failed this request, or cannot be reached, come after all others.
-func (c *Candidate) dislike(a Ask) float64 {
+func (c *Candidate) dislike(a Request) float64 {
 	cost := 0.0
-	if !c.Near {
+	if !c.SameZone {
 		cost = far
 	}
 	if c.Cold {
 		cost += cold
 	}
-	if c.Leaves {
+	if c.Leaving {
 		cost += leaving
 	}
-	if c.Silent {
+	if c.Unreachable {
 		cost += 1e5
 	}
 	if slices.Contains(a.Tried, c.ID) {
@@ -181,25 +181,25 @@
 	return p * p
 }
 
-// Short says that a prompt is read by one engine.
-func Short(e *matcher.Engine, prompt int) bool { return Read(e, prompt, 1) <= shortRead }
+// IsShort says that a prompt is read by one engine.
+func IsShort(e *matcher.Engine, prompt int) bool { return PrefillTime(e, prompt, 1) <= shortRead }
 
 // Urgency says what a request may cost others.
 type Urgency int
 
 const (
-	// Patient requests take only places that are good for all.
-	Patient Urgency = iota
+	// OnTime requests take only places that are good for all.
+	OnTime Urgency = iota
 	// Late requests can no longer be in time, and stand behind those that can.
 	Late
-	// Last requests are late and must begin soon to end at all, and may cost
+	// LastChance requests are late and must begin soon to end at all, and may cost
 	// others no more than a late answer is still worth.
-	Last
+	LastChance
 )
 
-// Engine chooses engines for a prompt, or says false where it had better wait.
-func Engine(e *matcher.Engine, a Ask, cs []Candidate, now time.Time, m Urgency) (Choice, bool) {
-	if Short(e, a.Prompt) {
+// ChooseEngines chooses engines for a prompt, or says false where it had better wait.
+func ChooseEngines(e *matcher.Engine, a Request, cs []Candidate, now time.Time, m Urgency) (Placement, bool) {
+	if IsShort(e, a.Prompt) {
 		return single(e, a, cs, now, m)
 	}
 	return group(e, a, cs, now, m)
--- a/entry/request/placer/placer_test.go
+++ b/entry/request/placer/placer_test.go
@@ -24,38 +24,38 @@
 func idle(n int) []placer.Candidate {
 	var cs []placer.Candidate
 	for i := range n {
-		cs = append(cs, placer.Candidate{ID: "e" + strconv.Itoa(i), Slots: 16, Room: 1 << 20, Near: true})
+		cs = append(cs, placer.Candidate{ID: "e" + strconv.Itoa(i), Slots: 16, Quota: 1 << 20, SameZone: true})
 	}
 	return cs
 }
 
-func short() placer.Ask {
-	return placer.Ask{Prompt: 5000, Output: 3400, Pause: 250, Arrived: now, Objective: now.Add(300 * time.Millisecond), Deadline: now.Add(10 * time.Second)}
+func short() placer.Request {
+	return placer.Request{Prompt: 5000, Output: 3400, MaxPause: 250, Arrived: now, Objective: now.Add(300 * time.Millisecond), Deadline: now.Add(10 * time.Second)}
 }
 
-func long(tokens int) placer.Ask {
-	return placer.Ask{Prompt: tokens, Output: 1700, Pause: 1000, Arrived: now, Objective: now.Add(2500 * time.Millisecond), Deadline: now.Add(15 * time.Second)}
+func long(tokens int) placer.Request {
+	return placer.Request{Prompt: tokens, Output: 1700, MaxPause: 1000, Arrived: now, Objective: now.Add(2500 * time.Millisecond), Deadline: now.Add(15 * time.Second)}
 }
 
 // stakes are those of so many short answers.
-func stakes(n int) (sum placer.Stakes) {
+func stakes(n int) (sum placer.PauseWeights) {
 	var l placer.Load
 	for range n {
-		l.Add(placer.Load{Stakes: short().Stake()})
+		l.Add(placer.Load{PauseWeights: short().PauseWeights()})
 	}
-	return l.Stakes
+	return l.PauseWeights
 }
 
 // place books a choice as the scheduler does.
-func place(cs []placer.Candidate, a placer.Ask, c placer.Choice) {
-	part := placer.Load{Unread: c.Read, Parts: 1}
-	main := placer.Load{Streams: 1, Context: a.Prompt + a.Output, Stakes: a.Stake()}
-	for _, t := range c.Tickets {
-		main.Context -= t.Tokens
-		cs[t.Candidate].Load.Context += t.Tokens
+func place(cs []placer.Candidate, a placer.Request, c placer.Placement) {
+	part := placer.Load{PendingPrefill: c.PrefillTime, Parts: 1}
+	main := placer.Load{Streams: 1, ContextTokens: a.Prompt + a.Output, PauseWeights: a.PauseWeights()}
+	for _, t := range c.Reservations {
+		main.ContextTokens -= t.Tokens
+		cs[t.Candidate].Load.ContextTokens += t.Tokens
 	}
 	cs[c.Main].Load.Add(main)
-	if placer.Short(engine, a.Prompt) {
+	if placer.IsShort(engine, a.Prompt) {
 		return
 	}
 	for _, i := range append([]int{c.Main}, c.Helpers...) {
@@ -66,13 +66,13 @@
 // The model is what decisions rest on: a prompt of 133,000 tokens takes an
 // engine 1.87 s, and 17 engines a seventeenth of that each.
 func TestReadingTimeGrowsWithPairs(t *testing.T) {
-	whole := placer.Read(engine, 133_000, 1)
+	whole := placer.PrefillTime(engine, 133_000, 1)
 	assert.Assert(t, whole > 1860 && whole < 1870, "%v", whole)
-	assert.Equal(t, placer.Read(engine, 133_000, 17), whole/17)
-	assert.Equal(t, placer.Read(engine, 0, 1), 0.0)
-	pass := placer.Pass(engine, 16, 16*6000)
+	assert.Equal(t, placer.PrefillTime(engine, 133_000, 17), whole/17)
+	assert.Equal(t, placer.PrefillTime(engine, 0, 1), 0.0)
+	pass := placer.DecodePassTime(engine, 16, 16*6000)
 	assert.Assert(t, pass > 60 && pass < 65, "%v", pass)
-	assert.Equal(t, placer.Pass(engine, 0, 0), 0.0)
+	assert.Equal(t, placer.DecodePassTime(engine, 0, 0), 0.0)
 }
 
 // A burst of short prompts comes one after the other. Spread over all engines
@@ -81,7 +81,7 @@
 func TestBurstOfShortPromptsFillsFewEngines(t *testing.T) {
 	cs := idle(20)
 	for range 45 {
-		c, ok := placer.Engine(engine, short(), cs, now, placer.Patient)
+		c, ok := placer.ChooseEngines(engine, short(), cs, now, placer.OnTime)
 		assert.Assert(t, ok)
 		assert.Equal(t, len(c.Helpers), 0)
 		place(cs, short(), c)
@@ -101,12 +101,12 @@
 func TestShortPromptsOfOneMomentSpread(t *testing.T) {
 	cs := idle(6)
 	for range 18 {
-		c, ok := placer.Engine(engine, short(), cs, now, placer.Patient)
+		c, ok := placer.ChooseEngines(engine, short(), cs, now, placer.OnTime)
 		assert.Assert(t, ok)
-		cs[c.Main].Load.Add(placer.Load{Streams: 1, Starting: 1, Unread: c.Read, Context: 8400, Stakes: stakes(1)})
+		cs[c.Main].Load.Add(placer.Load{Streams: 1, Starting: 1, PendingPrefill: c.PrefillTime, ContextTokens: 8400, PauseWeights: stakes(1)})
 	}
 	for i := range cs {
-		assert.Assert(t, cs[i].Load.Unread < 130, "%v", cs[i].Load)
+		assert.Assert(t, cs[i].Load.PendingPrefill < 130, "%v", cs[i].Load)
 	}
 }
 
@@ -115,15 +115,15 @@
 func TestLongPromptLeavesShortAnswersAlone(t *testing.T) {
 	cs := idle(16)
 	for i := range 6 {
-		cs[i].Load = placer.Load{Streams: 12, Context: 100_000, Stakes: stakes(12)}
+		cs[i].Load = placer.Load{Streams: 12, ContextTokens: 100_000, PauseWeights: stakes(12)}
 	}
-	c, ok := placer.Engine(engine, long(133_000), cs, now, placer.Patient)
+	c, ok := placer.ChooseEngines(engine, long(133_000), cs, now, placer.OnTime)
 	assert.Assert(t, ok)
 	for _, i := range append([]int{c.Main}, c.Helpers...) {
 		assert.Assert(t, i >= 6, "engine %d answers short prompts", i)
 	}
 	assert.Assert(t, len(c.Helpers) >= 2)
-	assert.Assert(t, c.First < 2500)
+	assert.Assert(t, c.TimeToFirstEvent < 2500)
 }
 
 // All engines answer short prompts and a part would stop their streams: a long
@@ -132,20 +132,20 @@
 func TestLongPromptWaitsForEnginesAndThenPresses(t *testing.T) {
 	cs := idle(16)
 	for i := range cs {
-		cs[i].Load = placer.Load{Streams: 1, Context: 8000, Stakes: stakes(1)}
+		cs[i].Load = placer.Load{Streams: 1, ContextTokens: 8000, PauseWeights: stakes(1)}
 	}
 	a := long(260_000)
-	_, ok := placer.Engine(engine, a, cs, now, placer.Patient)
+	_, ok := placer.ChooseEngines(engine, a, cs, now, placer.OnTime)
 	assert.Assert(t, !ok)
-	c, ok := placer.Engine(engine, a, cs, now.Add(1500*time.Millisecond), placer.Patient)
+	c, ok := placer.ChooseEngines(engine, a, cs, now.Add(1500*time.Millisecond), placer.OnTime)
 	assert.Assert(t, ok)
-	assert.Assert(t, c.First < 1000)
+	assert.Assert(t, c.TimeToFirstEvent < 1000)
 	for i := range cs {
-		cs[i].Load = placer.Load{Streams: 14, Context: 110_000, Stakes: stakes(14)}
+		cs[i].Load = placer.Load{Streams: 14, ContextTokens: 110_000, PauseWeights: stakes(14)}
 	}
-	_, ok = placer.Engine(engine, a, cs, now.Add(1500*time.Millisecond), placer.Patient)
+	_, ok = placer.ChooseEngines(engine, a, cs, now.Add(1500*time.Millisecond), placer.OnTime)
 	assert.Assert(t, !ok, "it would make 200 answers late for one")
-	_, ok = placer.Engine(engine, a, cs, now.Add(9*time.Second), placer.Last)
+	_, ok = placer.ChooseEngines(engine, a, cs, now.Add(9*time.Second), placer.LastChance)
 	assert.Assert(t, !ok)
 }
 
@@ -156,17 +156,17 @@
 func TestLongPromptBearsMoreHarmAsItsTimePasses(t *testing.T) {
 	cs := idle(16)
 	for i := range cs {
-		cs[i].Load = placer.Load{Streams: 3, Context: 24_000, Stakes: stakes(3)}
+		cs[i].Load = placer.Load{Streams: 3, ContextTokens: 24_000, PauseWeights: stakes(3)}
 	}
 	a := long(133_000)
-	_, ok := placer.Engine(engine, a, cs, now.Add(100*time.Millisecond), placer.Patient)
+	_, ok := placer.ChooseEngines(engine, a, cs, now.Add(100*time.Millisecond), placer.OnTime)
 	assert.Assert(t, !ok)
-	c, ok := placer.Engine(engine, a, cs, now.Add(1300*time.Millisecond), placer.Patient)
+	c, ok := placer.ChooseEngines(engine, a, cs, now.Add(1300*time.Millisecond), placer.OnTime)
 	assert.Assert(t, ok)
-	assert.Assert(t, len(c.Helpers) == 1 && c.First < 1200, "%+v", c)
+	assert.Assert(t, len(c.Helpers) == 1 && c.TimeToFirstEvent < 1200, "%+v", c)
 	late := long(133_000)
 	late.Objective = now.Add(600 * time.Millisecond)
-	_, ok = placer.Engine(engine, late, cs, now.Add(550*time.Millisecond), placer.Patient)
+	_, ok = placer.ChooseEngines(engine, late, cs, now.Add(550*time.Millisecond), placer.OnTime)
 	assert.Assert(t, !ok, "interference that does not bring it in time is for nothing")
 }
 
@@ -174,10 +174,10 @@
 // read later than one after the other.
 func TestPartsDoNotShareEnginesWhileThereIsTime(t *testing.T) {
 	cs := idle(8)
-	first, ok := placer.Engine(engine, long(133_000), cs, now, placer.Patient)
+	first, ok := placer.ChooseEngines(engine, long(133_000), cs, now, placer.OnTime)
 	assert.Assert(t, ok)
 	place(cs, long(133_000), first)
-	second, ok := placer.Engine(engine, long(133_000), cs, now, placer.Patient)
+	second, ok := placer.ChooseEngines(engine, long(133_000), cs, now, placer.OnTime)
 	if !ok {
 		return
 	}
@@ -191,13 +191,13 @@
 func TestLatePromptLeavesRoomForShortOnes(t *testing.T) {
 	cs := idle(8)
 	for i := range 6 {
-		cs[i].Load = placer.Load{Streams: 15, Context: 120_000, Stakes: stakes(15)}
+		cs[i].Load = placer.Load{Streams: 15, ContextTokens: 120_000, PauseWeights: stakes(15)}
 	}
 	a := long(133_000)
 	a.Objective = now.Add(-time.Second)
-	_, ok := placer.Engine(engine, a, cs, now, placer.Late)
+	_, ok := placer.ChooseEngines(engine, a, cs, now, placer.Late)
 	assert.Assert(t, !ok)
-	_, ok = placer.Engine(engine, a, append(cs[5:], idle(4)...), now, placer.Late)
+	_, ok = placer.ChooseEngines(engine, a, append(cs[5:], idle(4)...), now, placer.Late)
 	assert.Assert(t, ok, "with few short answers there is room")
 }
 
@@ -205,19 +205,19 @@
 // room for is set aside at others, all of it or nothing.
 func TestPromptAboveOneMemoryIsSpread(t *testing.T) {
 	a := long(600_000)
-	c, ok := placer.Engine(engine, a, idle(16), now, placer.Last)
+	c, ok := placer.ChooseEngines(engine, a, idle(16), now, placer.LastChance)
 	assert.Assert(t, ok)
 	aside := 0
-	for _, ticket := range c.Tickets {
+	for _, ticket := range c.Reservations {
 		aside += ticket.Tokens
 		assert.Assert(t, ticket.Tokens <= engine.Memory)
 		assert.Assert(t, slices.Contains(c.Helpers, ticket.Candidate))
 	}
 	assert.Assert(t, a.Prompt+a.Output-aside <= engine.Memory)
-	for i, ticket := range c.Tickets {
+	for i, ticket := range c.Reservations {
 		assert.Equal(t, c.Helpers[i], ticket.Candidate, "those with memory come first, in order")
 	}
-	_, ok = placer.Engine(engine, a, idle(2), now, placer.Last)
+	_, ok = placer.ChooseEngines(engine, a, idle(2), now, placer.LastChance)
 	assert.Assert(t, !ok)
 }
 
@@ -225,20 +225,20 @@
 // get nothing more this second must not get it while another may.
 func TestUpstreamsThatMayNotAreLeftOut(t *testing.T) {
 	cs := idle(5)
-	cs[0].Room = 0
-	cs[1].Silent = true
-	cs[2].Load = placer.Load{Streams: 16, Context: 1000, Stakes: stakes(16)}
+	cs[0].Quota = 0
+	cs[1].Unreachable = true
+	cs[2].Load = placer.Load{Streams: 16, ContextTokens: 1000, PauseWeights: stakes(16)}
 	a := short()
 	a.Tried = []string{"e3"}
-	c, ok := placer.Engine(engine, a, cs, now, placer.Patient)
+	c, ok := placer.ChooseEngines(engine, a, cs, now, placer.OnTime)
 	assert.Assert(t, ok)
 	assert.Equal(t, c.Main, 4)
-	c, ok = placer.Plain(a, cs)
+	c, ok = placer.ChoosePlain(a, cs)
 	assert.Assert(t, ok)
 	assert.Equal(t, c.Main, 4)
-	_, ok = placer.Engine(engine, a, cs[:1], now, placer.Last)
+	_, ok = placer.ChooseEngines(engine, a, cs[:1], now, placer.LastChance)
 	assert.Assert(t, !ok)
-	_, ok = placer.Plain(a, cs[2:3])
+	_, ok = placer.ChoosePlain(a, cs[2:3])
 	assert.Assert(t, !ok)
 }
 
@@ -249,11 +249,11 @@
 	cs := idle(4)
 	cs[0].Failed, cs[0].Answered = 4, 6
 	for i := 1; i < 4; i++ {
-		cs[i].Load = placer.Load{Streams: 4, Context: 30_000, Stakes: stakes(4)}
+		cs[i].Load = placer.Load{Streams: 4, ContextTokens: 30_000, PauseWeights: stakes(4)}
 		cs[i].Answered = 10
 	}
 	for range 24 {
-		c, ok := placer.Engine(engine, short(), cs, now, placer.Patient)
+		c, ok := placer.ChooseEngines(engine, short(), cs, now, placer.OnTime)
 		assert.Assert(t, ok)
 		assert.Assert(t, c.Main != 0)
 		place(cs, short(), c)
@@ -262,8 +262,8 @@
 	// leave an upstream to the others' cost.
 	cs = idle(2)
 	cs[0].Failed, cs[0].Answered = 0.5, 60
-	cs[1].Load = placer.Load{Streams: 3, Stakes: stakes(3)}
-	c, ok := placer.Plain(short(), cs)
+	cs[1].Load = placer.Load{Streams: 3, PauseWeights: stakes(3)}
+	c, ok := placer.ChoosePlain(short(), cs)
 	assert.Assert(t, ok)
 	assert.Equal(t, c.Main, 0)
 }
@@ -276,36 +276,36 @@
 		for i := range cs {
 			tight := rapid.IntRange(0, 20).Draw(t, "tight")
 			cs[i].Load = placer.Load{
-				Streams: tight, Context: rapid.IntRange(0, 250_000).Draw(t, "context"),
-				Unread: rapid.Float64Range(0, 2000).Draw(t, "unread"), Stakes: stakes(tight),
+				Streams: tight, ContextTokens: rapid.IntRange(0, 250_000).Draw(t, "context"),
+				PendingPrefill: rapid.Float64Range(0, 2000).Draw(t, "unread"), PauseWeights: stakes(tight),
 				Parts: rapid.IntRange(0, 2).Draw(t, "parts"),
 			}
-			cs[i].Room = rapid.IntRange(0, 2).Draw(t, "room")
+			cs[i].Quota = rapid.IntRange(0, 2).Draw(t, "room")
 		}
 		a := long(rapid.IntRange(1, 700_000).Draw(t, "prompt"))
 		at := now.Add(time.Duration(rapid.IntRange(0, 14_000).Draw(t, "waited")) * time.Millisecond)
-		c, ok := placer.Engine(engine, a, cs, at, placer.Urgency(rapid.IntRange(0, 3).Draw(t, "urgency")))
+		c, ok := placer.ChooseEngines(engine, a, cs, at, placer.Urgency(rapid.IntRange(0, 3).Draw(t, "urgency")))
 		if !ok {
 			return
 		}
 		seen := map[int]bool{}
 		for _, i := range append([]int{c.Main}, c.Helpers...) {
-			if seen[i] || cs[i].Room < 1 {
+			if seen[i] || cs[i].Quota < 1 {
 				t.Fatalf("engine %d in %+v", i, c)
 			}
 			seen[i] = true
 		}
-		if len(c.Helpers) > placer.MostParts {
+		if len(c.Helpers) > placer.MaxHelpers {
 			t.Fatalf("%d helpers", len(c.Helpers))
 		}
 		need := a.Prompt + a.Output
-		for _, ticket := range c.Tickets {
+		for _, ticket := range c.Reservations {
 			need -= ticket.Tokens
-			if cs[ticket.Candidate].Load.Context+ticket.Tokens > engine.Memory {
+			if cs[ticket.Candidate].Load.ContextTokens+ticket.Tokens > engine.Memory {
 				t.Fatalf("%+v has no such memory", cs[ticket.Candidate])
 			}
 		}
-		if cs[c.Main].Load.Context+need > engine.Memory {
+		if cs[c.Main].Load.ContextTokens+need > engine.Memory {
 			t.Fatalf("the first engine has no room for %d", need)
 		}
 	})
@@ -317,9 +317,9 @@
 func TestLatePromptTakesTheIdleEngines(t *testing.T) {
 	cs := idle(16)
 	for i := range 10 {
-		cs[i].Load = placer.Load{Streams: 3, Context: 25_000, Stakes: stakes(3)}
+		cs[i].Load = placer.Load{Streams: 3, ContextTokens: 25_000, PauseWeights: stakes(3)}
 	}
-	c, ok := placer.Engine(engine, long(374_000), cs, now.Add(4*time.Second), placer.Late)
+	c, ok := placer.ChooseEngines(engine, long(374_000), cs, now.Add(4*time.Second), placer.Late)
 	assert.Assert(t, ok)
 	for _, i := range append([]int{c.Main}, c.Helpers...) {
 		assert.Assert(t, i >= 10, "engine %d answers short prompts", i)
@@ -332,7 +332,7 @@
 func TestStakesFollowFromWhatCallersBear(t *testing.T) {
 	load := func(pause float64, prompt, n int) (l placer.Load) {
 		for range n {
-			l.Add(placer.Load{Streams: 1, Context: prompt, Stakes: placer.Ask{Prompt: prompt, Pause: pause}.Stake()})
+			l.Add(placer.Load{Streams: 1, ContextTokens: prompt, PauseWeights: placer.Request{Prompt: prompt, MaxPause: pause}.PauseWeights()})
 		}
 		return l
 	}
@@ -351,9 +351,9 @@
 			cs := idle(1)
 			cs[0].Load = tt.load
 			a := long(45_000)
-			_, ok := placer.Engine(engine, a, cs, now, placer.Patient)
+			_, ok := placer.ChooseEngines(engine, a, cs, now, placer.OnTime)
 			assert.Equal(t, ok, tt.place)
-			cs[0].Load.Take(tt.load)
+			cs[0].Load.Sub(tt.load)
 			assert.Equal(t, cs[0].Load, placer.Load{})
 		})
 	}
@@ -363,11 +363,11 @@
 // read it. Sent all the same, it would keep both from prompts whose callers wait.
 func TestPromptIsNotSentForACallerWhoWillHaveLeft(t *testing.T) {
 	a := long(300_000)
-	a.Leaves = now.Add(12 * time.Second)
-	_, ok := placer.Engine(engine, a, idle(2), now.Add(9*time.Second), placer.Last)
+	a.CallerTimeout = now.Add(12 * time.Second)
+	_, ok := placer.ChooseEngines(engine, a, idle(2), now.Add(9*time.Second), placer.LastChance)
 	assert.Assert(t, !ok)
-	_, ok = placer.Engine(engine, a, idle(2), now.Add(6*time.Second), placer.Last)
+	_, ok = placer.ChooseEngines(engine, a, idle(2), now.Add(6*time.Second), placer.LastChance)
 	assert.Assert(t, ok, "four seconds of reading end before it leaves")
-	_, ok = placer.Engine(engine, a, idle(12), now.Add(9*time.Second), placer.Last)
+	_, ok = placer.ChooseEngines(engine, a, idle(12), now.Add(9*time.Second), placer.LastChance)
 	assert.Assert(t, ok, "so does a second's by more engines")
 }
--- a/entry/request/placer/single.go
+++ b/entry/request/placer/single.go
@@ -32,31 +32,31 @@
 // nobody waits for a short answer disturbs nobody. It answers short and long
 // prompts in the same hour; spread evenly over all engines, the short ones met
 // a part of a long prompt in every fourth pass.
-func single(e *matcher.Engine, a Ask, cs []Candidate, now time.Time, m Urgency) (Choice, bool) {
-	read := Read(e, a.Prompt, 1)
+func single(e *matcher.Engine, a Request, cs []Candidate, now time.Time, m Urgency) (Placement, bool) {
+	read := PrefillTime(e, a.Prompt, 1)
 	good := goodFirst * float64(a.Objective.Sub(a.Arrived).Milliseconds())
 	bound := math.Inf(1)
-	if m == Patient {
+	if m == OnTime {
 		// A slot elsewhere is free sooner than an engine that reads for long.
 		bound = float64(a.Objective.Sub(now).Milliseconds())
 	}
 	best, least, fullest := -1, math.Inf(1), -1
-	lack := LackEngine
+	lack := NoEngine
 	if m == Late && !hasHeadroom(cs) {
-		return Choice{Lack: LackHeadroom}, false
+		return Placement{Reason: NoHeadroom}, false
 	}
 	for i := range cs {
 		c := &cs[i]
-		if c.Room < 1 || !c.slot(m) || !c.fits(e, a.Prompt+a.Output) {
+		if c.Quota < 1 || !c.slot(m) || !c.fits(e, a.Prompt+a.Output) {
 			continue
 		}
-		cost := First(e, c.Load, read) + c.dislike(a) + failure*c.failing() + slotWait*float64(max(0, c.Load.Streams+1-c.Slots))
+		cost := TimeToFirstToken(e, c.Load, read) + c.dislike(a) + failure*c.failing() + slotWait*float64(max(0, c.Load.Streams+1-c.Slots))
 		if cost > bound {
-			lack = LackTime
+			lack = TooLate
 			continue
 		}
 		filled := -1
-		if cost <= good && c.Load.Parts == 0 && c.Load.Unread+read <= max(goodUnread, read) && c.Load.Streams < c.packed() {
+		if cost <= good && c.Load.Parts == 0 && c.Load.PendingPrefill+read <= max(goodUnread, read) && c.Load.Streams < c.packed() {
 			filled = c.Load.Streams
 		}
 		if filled > fullest || (filled == fullest && cost < least) {
@@ -64,9 +64,9 @@
 		}
 	}
 	if best < 0 {
-		return Choice{Lack: lack}, false
+		return Placement{Reason: lack}, false
 	}
-	return Choice{Main: best, Read: read, First: least}, true
+	return Placement{Main: best, PrefillTime: read, TimeToFirstEvent: least}, true
 }
 
 // packed is how many streams an engine is filled to.
@@ -82,7 +82,7 @@
 	free, slots := 0, 0
 	for i := range cs {
 		c := &cs[i]
-		if c.Room < 1 || c.Silent {
+		if c.Quota < 1 || c.Unreachable {
 			continue
 		}
 		free += max(0, c.Slots-c.Load.Streams)
@@ -94,7 +94,7 @@
 // slot says that the engine can run one request more now, or, where there is no
 // time to wait, that it would wait there behind no more than as many again.
 func (c *Candidate) slot(m Urgency) bool {
-	if m == Patient || m == Late {
+	if m == OnTime || m == Late {
 		return c.Load.Streams < c.Slots
 	}
 	return c.Load.Streams < 2*c.Slots
@@ -105,5 +105,5 @@
 }
 
 func (c *Candidate) free(e *matcher.Engine) int {
-	return int(memorySpare*float64(e.Memory)) - c.Load.Context
+	return int(memorySpare*float64(e.Memory)) - c.Load.ContextTokens
 }
--- a/entry/request/placer/stake.go
+++ b/entry/request/placer/stake.go
@@ -14,11 +14,11 @@
 	stakeUnit = 100
 )
 
-// Stakes are what streams count for, in hundredths, by the pause that their
+// PauseWeights are what streams count for, in hundredths, by the pause that their
 // callers bear. They answer callers of any kind on the same engines: which of
 // them lose by a part of a prompt, and how much, follows from what they bear and
 // how long their prompts are.
-type Stakes [Steps]int32
+type PauseWeights [Steps]int32
 
 // limits are the pauses in milliseconds that the steps stand for. A stream whose
 // caller bears less than the shortest is always at stake.
@@ -29,21 +29,21 @@
 	return all
 }()
 
-// Stake is that of one request, at the longest step that is no longer than the
+// PauseWeights is that of one request, at the longest step that is no longer than the
 // pause that its caller bears.
-func (a Ask) Stake() (s Stakes) {
+func (a Request) PauseWeights() (s PauseWeights) {
 	step := 0
-	if a.Pause >= limits[1] {
+	if a.MaxPause >= limits[1] {
 		// A pause that is a step's own must not fall below it by rounding.
 		const rounding = 1e-9
-		step = min(Steps-1, int(perOctave*math.Log2(a.Pause/shortestPause)+rounding))
+		step = min(Steps-1, int(perOctave*math.Log2(a.MaxPause/shortestPause)+rounding))
 	}
 	s[step] = int32(math.Round(a.weight() * stakeUnit))
 	return s
 }
 
 // below is what of the stakes is lost by a pass of so many milliseconds.
-func (s *Stakes) below(pass float64) float64 {
+func (s *PauseWeights) below(pass float64) float64 {
 	sum := int32(0)
 	for step, n := range s {
 		if n > 0 && pass > pauseSpare*limits[step] {
--- a/entry/request/ranker/ranker.go
+++ b/entry/request/ranker/ranker.go
@@ -47,9 +47,9 @@
 	return &Ranker{teams: make(map[string]*use)}
 }
 
-// Note counts a prompt of a team. All uses decay alike, so that instead of each
+// Record counts a prompt of a team. All uses decay alike, so that instead of each
 // being made smaller with time, the new ones count for more.
-func (r *Ranker) Note(now time.Time, team string, share, tokens int) {
+func (r *Ranker) Record(now time.Time, team string, share, tokens int) {
 	r.age(now)
 	u, ok := r.teams[team]
 	if !ok {
@@ -86,9 +86,9 @@
 	}
 }
 
-// Over tells whether a team uses more than its share beside the teams that send
+// OverShare tells whether a team uses more than its share beside the teams that send
 // now.
-func (r *Ranker) Over(now time.Time, team string) bool {
+func (r *Ranker) OverShare(now time.Time, team string) bool {
 	r.age(now)
 	u, ok := r.teams[team]
 	if !ok || r.tokens == 0 || r.shares == 0 {
--- a/entry/request/ranker/ranker_test.go
+++ b/entry/request/ranker/ranker_test.go
@@ -32,12 +32,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			r := ranker.New()
 			for team, tokens := range test.tokens {
-				r.Note(now, team, test.shares[team], tokens)
+				r.Record(now, team, test.shares[team], tokens)
 			}
 			for team := range test.tokens {
-				assert.Equal(t, r.Over(now.Add(test.later), team), team == test.over, team)
+				assert.Equal(t, r.OverShare(now.Add(test.later), team), team == test.over, team)
 			}
-			assert.Assert(t, !r.Over(now, "nobody"))
+			assert.Assert(t, !r.OverShare(now, "nobody"))
 		})
 	}
 }
@@ -57,8 +57,8 @@
 				// 85 requests a second, as one VM has at the users' aim.
 				now = now.Add(time.Second / 85)
 				i++
-				r.Note(now, names[i%teams], 1, 1000)
-				r.Over(now, names[i%teams])
+				r.Record(now, names[i%teams], 1, 1000)
+				r.OverShare(now, names[i%teams])
 			}
 		})
 	}
--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -125,9 +125,9 @@
 	}
 	grant, refused := r.deps.Allocator.Acquire(ctx, scheduler.Call{
 		Service: j.service, Priority: j.priority(), Team: j.teamName(),
-		Ask: placer.Ask{
-			Prompt: j.ask.Prompt, Output: j.ask.Output, Tried: j.tried, Pause: float64(j.route.Gap.Milliseconds()),
-			Arrived: j.arrived, Objective: j.arrived.Add(j.route.Objective), Deadline: j.end, Leaves: leaves,
+		Ask: placer.Request{
+			Prompt: j.ask.Prompt, Output: j.ask.Output, Tried: j.tried, MaxPause: float64(j.route.Gap.Milliseconds()),
+			Arrived: j.arrived, Objective: j.arrived.Add(j.route.Objective), Deadline: j.end, CallerTimeout: leaves,
 		},
 	})
 	now := r.deps.Now()
@@ -285,7 +285,7 @@
 func (r *Relayer) request(j *job, t *try, now time.Time) carrier.Request {
 	o := Onward{
 		Left: j.end.Sub(now), Upstream: t.grant.Upstream.ID, Team: j.teamName(), LastEvent: j.lastEvent,
-		Urgent: j.service.Engine != nil && placer.Short(j.service.Engine, j.ask.Prompt),
+		Urgent: j.service.Engine != nil && placer.IsShort(j.service.Engine, j.ask.Prompt),
 	}
 	named := 0
 	for _, h := range t.grant.Helpers {
--- a/entry/request/relayer/relayer.go
+++ b/entry/request/relayer/relayer.go
@@ -346,7 +346,7 @@
 		return min(j.route.Timeout, usualCall)
 	}
 	e := j.service.Engine
-	pass := placer.Pass(e, e.Slots, e.Memory/usualShare)
+	pass := placer.DecodePassTime(e, e.Slots, e.Memory/usualShare)
 	answer := pass * float64(j.ask.Output) / float64(max(1, e.Stride))
 	return j.route.Objective + time.Duration(answer*float64(time.Millisecond))
 }
--- a/entry/request/relayer/whole.go
+++ b/entry/request/relayer/whole.go
@@ -184,7 +184,7 @@
 	}
 	if t.upstream != "" {
 		line.Str("upstream", t.upstream).Strs("helpers", t.helpers).Int("memory", t.memory).
-			Float64("estimate", t.estimate).Int("streams", t.load.Streams).Float64("unread", t.load.Unread).
+			Float64("estimate", t.estimate).Int("streams", t.load.Streams).Float64("unread", t.load.PendingPrefill).
 			Int("runs", j.runs).Int("declined", j.refused)
 	}
 	if t.leader != "" {
--- a/entry/request/retrier/retrier.go
+++ b/entry/request/retrier/retrier.go
@@ -22,9 +22,9 @@
 	// Burst is the most retries saved up, and what a Retrier starts with; 10
 	// by default: the streams that one VM loses with one engine.
 	Burst float64
-	// Tries is the most attempts at one request, the first included; 3 by
+	// MaxAttempts is the most attempts at one request, the first included; 3 by
 	// default, as a third failure in a row is rarely the upstream's own.
-	Tries int
+	MaxAttempts int
 	// Base is the wait after the first attempt at most; it doubles with each
 	// further one. 25 ms by default, a few round trips between zones.
 	Base time.Duration
@@ -42,29 +42,29 @@
 type Attempt struct {
 	// Repeatable says that running the call twice does no harm.
 	Repeatable bool
-	// Sent says that a byte of the request may have left and no answer proves
+	// MayHaveRun says that a byte of the request may have left and no answer proves
 	// that nothing ran. A refusal that says "not run" leaves it false.
-	Sent bool
-	// FirstByte says that a byte of the answer has gone to the caller, after
+	MayHaveRun bool
+	// ResponseStarted says that a byte of the answer has gone to the caller, after
 	// which a new attempt could only repeat or contradict it.
-	FirstByte bool
-	// Tries is how many attempts there were, this one included.
-	Tries int
+	ResponseStarted bool
+	// Attempts is how many attempts there were, this one included.
+	Attempts int
 	// Deadline is when the request must have ended.
 	Deadline time.Time
 }
 
 // A Decision says whether to try again, and after how long.
 type Decision struct {
-	Again bool
-	After time.Duration
+	Retry bool
+	Delay time.Duration
 }
 
 // New returns a Retrier with a full budget, which draws its waits from r.
 func New(c Config, r *rand.Rand) *Retrier {
 	c.Ratio = cmp.Or(c.Ratio, 0.1)
 	c.Burst = cmp.Or(c.Burst, 10)
-	c.Tries = cmp.Or(c.Tries, 3)
+	c.MaxAttempts = cmp.Or(c.MaxAttempts, 3)
 	c.Base = cmp.Or(c.Base, 25*time.Millisecond)
 	return &Retrier{conf: c, rand: r, budget: c.Burst}
 }
@@ -80,7 +80,7 @@
 // Decide says whether the request is tried again, and takes the retry from the
 // budget if so.
 func (r *Retrier) Decide(now time.Time, a Attempt) Decision {
-	if a.FirstByte || (a.Sent && !a.Repeatable) || a.Tries >= r.conf.Tries || r.budget < 1 {
+	if a.ResponseStarted || (a.MayHaveRun && !a.Repeatable) || a.Attempts >= r.conf.MaxAttempts || r.budget < 1 {
 		return Decision{}
 	}
 	after := r.wait(a)
@@ -88,16 +88,16 @@
 		return Decision{}
 	}
 	r.budget--
-	return Decision{Again: true, After: after}
+	return Decision{Retry: true, Delay: after}
 }
 
 // wait is random up to a bound that doubles, so that requests that failed
 // together do not come back together. What never left goes elsewhere at once
 // the first time.
 func (r *Retrier) wait(a Attempt) time.Duration {
-	if !a.Sent && a.Tries <= 1 {
+	if !a.MayHaveRun && a.Attempts <= 1 {
 		return 0
 	}
-	most := r.conf.Base << max(0, min(a.Tries-1, 16))
+	most := r.conf.Base << max(0, min(a.Attempts-1, 16))
 	return time.Duration(r.rand.Int64N(int64(most)) + 1)
 }
--- a/entry/request/retrier/retrier_test.go
+++ b/entry/request/retrier/retrier_test.go
@@ -27,20 +27,20 @@
 		again bool
 		most  time.Duration
 	}{
-		{"nothing left", retrier.Attempt{Tries: 1, Deadline: later}, true, 0},
-		{"nothing left, second time", retrier.Attempt{Tries: 2, Deadline: later}, true, 50 * time.Millisecond},
-		{"may have run", retrier.Attempt{Sent: true, Tries: 1, Deadline: later}, false, 0},
-		{"may have run and may run twice", retrier.Attempt{Repeatable: true, Sent: true, Tries: 1, Deadline: later}, true, 25 * time.Millisecond},
-		{"answer begun", retrier.Attempt{Repeatable: true, Sent: true, FirstByte: true, Tries: 1, Deadline: later}, false, 0},
-		{"too many tries", retrier.Attempt{Tries: 3, Deadline: later}, false, 0},
-		{"no time left", retrier.Attempt{Tries: 1, Deadline: epoch}, false, 0},
+		{"nothing left", retrier.Attempt{Attempts: 1, Deadline: later}, true, 0},
+		{"nothing left, second time", retrier.Attempt{Attempts: 2, Deadline: later}, true, 50 * time.Millisecond},
+		{"may have run", retrier.Attempt{MayHaveRun: true, Attempts: 1, Deadline: later}, false, 0},
+		{"may have run and may run twice", retrier.Attempt{Repeatable: true, MayHaveRun: true, Attempts: 1, Deadline: later}, true, 25 * time.Millisecond},
+		{"answer begun", retrier.Attempt{Repeatable: true, MayHaveRun: true, ResponseStarted: true, Attempts: 1, Deadline: later}, false, 0},
+		{"too many tries", retrier.Attempt{Attempts: 3, Deadline: later}, false, 0},
+		{"no time left", retrier.Attempt{Attempts: 1, Deadline: epoch}, false, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := newRetrier()
 			d := r.Decide(epoch, tt.a)
-			assert.Equal(t, d.Again, tt.again)
-			assert.Assert(t, d.After <= tt.most, "after %v", d.After)
+			assert.Equal(t, d.Retry, tt.again)
+			assert.Assert(t, d.Delay <= tt.most, "after %v", d.Delay)
 			taken := 10 - r.Budget()
 			assert.Equal(t, taken == 1, tt.again)
 		})
@@ -54,7 +54,7 @@
 	r.Completed(1_000_000)
 	retries := 0
 	for range 10_000 {
-		for tries := 1; r.Decide(epoch, retrier.Attempt{Tries: tries, Deadline: later}).Again; tries++ {
+		for tries := 1; r.Decide(epoch, retrier.Attempt{Attempts: tries, Deadline: later}).Retry; tries++ {
 			retries++
 		}
 	}
@@ -75,15 +75,15 @@
 			},
 			"fail": func(t *rapid.T) {
 				a := retrier.Attempt{
-					Repeatable: rapid.Bool().Draw(t, "repeatable"), Sent: rapid.Bool().Draw(t, "sent"),
-					FirstByte: rapid.Bool().Draw(t, "first"), Tries: rapid.IntRange(1, 4).Draw(t, "tries"), Deadline: later,
+					Repeatable: rapid.Bool().Draw(t, "repeatable"), MayHaveRun: rapid.Bool().Draw(t, "sent"),
+					ResponseStarted: rapid.Bool().Draw(t, "first"), Attempts: rapid.IntRange(1, 4).Draw(t, "tries"), Deadline: later,
 				}
 				d := r.Decide(epoch, a)
-				if !d.Again {
+				if !d.Retry {
 					return
 				}
 				retries++
-				if a.FirstByte || (a.Sent && !a.Repeatable) {
+				if a.ResponseStarted || (a.MayHaveRun && !a.Repeatable) {
 					t.Fatalf("%+v was tried again", a)
 				}
 			},
