--- a/entry/process/deduplicator/begin.go
+++ b/entry/process/deduplicator/begin.go
@@ -84,7 +84,7 @@
 	}
 	now := k.timer.Now()
 	if err := k.ready(now); err != nil {
-		return v, refuser.New(503, "keys_unready", "%v", err).Back(retryAfter)
+		return v, refuser.New(503, "keys_unready", "%v", err).WithRetryAfter(retryAfter)
 	}
 	return v, refusalOf(k.config.Limits.Check(c.Key, c.Dated, k.ledger.Since(), now))
 }
@@ -96,15 +96,15 @@
 	case err == nil:
 		return nil
 	case ErrMissed.Has(err):
-		return refuser.New(503, "keys_unready", "%v", err).Back(retryAfter)
+		return refuser.New(503, "keys_unready", "%v", err).WithRetryAfter(retryAfter)
 	case ErrOld.Has(err):
 		// "Not run" would be true of this call only. Its caller may have been
 		// told nothing about an earlier one with the key, would take it for
 		// the answer to that, and book again under a new key.
-		return refuser.At("Idempotency-Key", "key_old",
-			"%v; this call was not run, whether an earlier one with the key ran is no longer known", err).Having(refuser.Unknown)
+		return refuser.BadRequest("Idempotency-Key", "key_old",
+			"%v; this call was not run, whether an earlier one with the key ran is no longer known", err).WithRan(refuser.RanUnknown)
 	}
-	return refuser.At("Idempotency-Key", "key_bad", "%v", err)
+	return refuser.BadRequest("Idempotency-Key", "key_bad", "%v", err)
 }
 
 // settled answers with the first call's outcome.
@@ -117,7 +117,7 @@
 
 func unknown() *refuser.Refusal {
 	return refuser.New(504, "outcome_unknown",
-		"a call with this key may have run; it is not run again").Having(refuser.Unknown)
+		"a call with this key may have run; it is not run again").WithRan(refuser.RanUnknown)
 }
 
 // claim appends an intent and waits until the log has decided it. It is not
@@ -139,12 +139,12 @@
 		case <-w:
 			continue
 		case <-refused:
-			return Answer{Refusal: refuser.New(503, "keys_unready", "the log refuses records").Back(retryAfter)}, true
+			return Answer{Refusal: refuser.New(503, "keys_unready", "the log refuses records").WithRetryAfter(retryAfter)}, true
 		case <-ctx.Done():
 		}
 		// The intent may still land, now or later. Nothing was sent and
 		// nothing will be, and the record of that frees the key.
 		k.queue.post(recorder.CallEntry{Key: key, Attempt: attempt, Abandon: true}, nil)
-		return Answer{Refusal: refuser.New(504, "keys_slow", "the log did not decide in time").Back(retryAfter)}, true
+		return Answer{Refusal: refuser.New(504, "keys_slow", "the log did not decide in time").WithRetryAfter(retryAfter)}, true
 	}
 }
--- a/entry/process/deduplicator/deduplicator_test.go
+++ b/entry/process/deduplicator/deduplicator_test.go
@@ -42,7 +42,7 @@
 		change(&other)
 		r := b.Begin(bounded(t), other).Refusal
 		assert.Equal(t, r.Status, 422, name)
-		assert.Equal(t, r.Ran, refuser.No)
+		assert.Equal(t, r.Ran, refuser.RanNo)
 	}
 	other := c
 	other.Team = "u"
@@ -79,7 +79,7 @@
 	defer cancel()
 	r := b.Begin(ctx, c).Refusal
 	assert.Equal(t, r.Code, "outcome_unknown")
-	assert.Equal(t, r.Ran, refuser.Unknown)
+	assert.Equal(t, r.Ran, refuser.RanUnknown)
 }
 
 func TestNextWinsAfterAbandon(t *testing.T) {
@@ -110,7 +110,7 @@
 		r := k.Begin(ctx, c).Refusal
 		assert.NilError(t, ctx.Err(), "not only at the end of its limit")
 		assert.Equal(t, r.Code, "outcome_unknown")
-		assert.Equal(t, r.Ran, refuser.Unknown)
+		assert.Equal(t, r.Ran, refuser.RanUnknown)
 	}
 }
 
@@ -141,7 +141,7 @@
 				return
 			}
 			assert.Equal(t, answer.Refusal.Code, test.code)
-			assert.Equal(t, answer.Refusal.Ran, refuser.No)
+			assert.Equal(t, answer.Refusal.Ran, refuser.RanNo)
 			// Nothing ran, so the key is still of use.
 			again := k.Begin(bounded(t), c)
 			assert.Assert(t, again.Ticket != nil)
@@ -177,8 +177,8 @@
 	ticket.Done(ok("also booked"))
 	r := k.Begin(bounded(t), call(keyMade(time.Now(), 3))).Refusal
 	assert.Equal(t, r.Code, "keys_unready")
-	assert.Equal(t, r.Ran, refuser.No)
-	assert.Assert(t, r.After > 0)
+	assert.Equal(t, r.Ran, refuser.RanNo)
+	assert.Assert(t, r.RetryAfter > 0)
 	assert.Equal(t, string(k.Begin(bounded(t), settled).Outcome.Body), "booked")
 	assert.Equal(t, string(k.Begin(bounded(t), open).Outcome.Body), "also booked")
 	assert.Assert(t, k.Pending() > 0)
@@ -223,7 +223,7 @@
 	defer cancel()
 	r := a.Begin(ctx, c).Refusal
 	assert.Assert(t, r != nil, "the call may be sent")
-	assert.Equal(t, r.Ran, refuser.No)
+	assert.Equal(t, r.Ran, refuser.RanNo)
 	log.setDown(false)
 	again := run(t, log, "b", 1, nobodyGone).Begin(bounded(t), c)
 	assert.Assert(t, again.Ticket != nil, "%+v", again.Refusal)
@@ -260,9 +260,9 @@
 		key, code string
 		ran       refuser.Ran
 	}{
-		{"booking 1", "key_bad", refuser.No},
-		{keyMade(time.Now().Add(-2*time.Hour), 1), "key_old", refuser.Unknown},
-		{keyMade(time.Now().Add(2*time.Hour), 1), "key_bad", refuser.No},
+		{"booking 1", "key_bad", refuser.RanNo},
+		{keyMade(time.Now().Add(-2*time.Hour), 1), "key_old", refuser.RanUnknown},
+		{keyMade(time.Now().Add(2*time.Hour), 1), "key_bad", refuser.RanNo},
 	}
 	for _, test := range tests {
 		r := k.Begin(bounded(t), call(test.key)).Refusal
--- a/entry/process/deduplicator/history_test.go
+++ b/entry/process/deduplicator/history_test.go
@@ -109,7 +109,7 @@
 	switch {
 	case a.Outcome != nil:
 		return result{"replayed", string(a.Outcome.Body)}
-	case a.Refusal != nil && a.Refusal.Ran == refuser.Unknown:
+	case a.Refusal != nil && a.Refusal.Ran == refuser.RanUnknown:
 		return result{kind: "unknown"}
 	case a.Refusal != nil:
 		return result{kind: "none"}
--- a/entry/process/dispatcher/dispatcher_test.go
+++ b/entry/process/dispatcher/dispatcher_test.go
@@ -215,7 +215,7 @@
 	r := newRig(t, 1, 1000, "e1", "e2", "e3")
 	_, refusal := r.Acquire(t.Context(), r.call(5000))
 	assert.Equal(t, refusal.Code, "too_large")
-	assert.Equal(t, refusal.Ran, refuser.No)
+	assert.Equal(t, refusal.Ran, refuser.RanNo)
 }
 
 // A prompt waits for a group of three engines, and one of the three dies. It is
@@ -231,8 +231,8 @@
 	assert.Assert(t, <-waiting == nil)
 	_, refusal := r.Acquire(t.Context(), r.call(2300))
 	assert.Equal(t, refusal.Code, "engines_away")
-	assert.Equal(t, refusal.Ran, refuser.No)
-	assert.Assert(t, refusal.After > 0)
+	assert.Equal(t, refusal.Ran, refuser.RanNo)
+	assert.Assert(t, refusal.RetryAfter > 0)
 }
 
 // A publish takes a model away while a request waits for it. The request gets
--- a/entry/process/dispatcher/group.go
+++ b/entry/process/dispatcher/group.go
@@ -36,7 +36,7 @@
 		return refuser.New(http.StatusUnprocessableEntity, "too_large", "%s", err)
 	}
 	if _, err := grouper.Plan(k.Tokens, k.Output, heard, groupShare()); err != nil {
-		return refuser.New(http.StatusServiceUnavailable, "engines_away", "of the engines that answer now: %s", err).Back(silence)
+		return refuser.New(http.StatusServiceUnavailable, "engines_away", "of the engines that answer now: %s", err).WithRetryAfter(silence)
 	}
 	return nil
 }
--- a/entry/process/dispatcher/pool.go
+++ b/entry/process/dispatcher/pool.go
@@ -162,7 +162,7 @@
 }
 
 func turnedAway(r *admitter.Refusal) *refuser.Refusal {
-	return refuser.New(http.StatusTooManyRequests, r.Code, "%s", r).Back(r.After)
+	return refuser.New(http.StatusTooManyRequests, r.Code, "%s", r).WithRetryAfter(r.After)
 }
 
 // leave takes a request out that its caller has left, or whose limit is over.
@@ -184,7 +184,7 @@
 }
 
 func late() *refuser.Refusal {
-	return refuser.New(http.StatusGatewayTimeout, "late", "it could not be begun within its time limit").Back(time.Second)
+	return refuser.New(http.StatusGatewayTimeout, "late", "it could not be begun within its time limit").WithRetryAfter(time.Second)
 }
 
 func (p *pool) pump() {
--- a/entry/process/drainer/drainer.go
+++ b/entry/process/drainer/drainer.go
@@ -50,10 +50,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.shut != "" {
-		return refuser.New(http.StatusServiceUnavailable, "leaving", "this VM takes no new work: %s", d.shut).Back(retry)
+		return refuser.New(http.StatusServiceUnavailable, "leaving", "this VM takes no new work: %s", d.shut).WithRetryAfter(retry)
 	}
 	if d.running >= d.most {
-		return refuser.New(http.StatusServiceUnavailable, "crowded", "this VM has %d requests in progress", d.running).Back(retry)
+		return refuser.New(http.StatusServiceUnavailable, "crowded", "this VM has %d requests in progress", d.running).WithRetryAfter(retry)
 	}
 	d.running++
 	return nil
--- a/entry/process/joiner/budget.go
+++ b/entry/process/joiner/budget.go
@@ -37,15 +37,15 @@
 	return r
 }
 
-// Sent counts a request's first sending.
-func (b *budget) Sent(service string) {
+// RecordRequest counts a request's first sending.
+func (b *budget) RecordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(service).Sent(time.Now())
 }
 
-// Take asks for a repeat.
-func (b *budget) Take(service string) bool {
+// TakeRetry asks for a repeat.
+func (b *budget) TakeRetry(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
--- a/entry/process/joiner/joiner.go
+++ b/entry/process/joiner/joiner.go
@@ -112,7 +112,7 @@
 type Platform interface {
 	syncer.Source
 	reserver.Orderer
-	relayer.Dialect
+	relayer.Protocol
 	// Announce records this VM for the other VMs.
 	Announce(ctx context.Context, m allocator.Member) error
 	// Keep records for the other VMs that a request is held in quarantine, and Drop
@@ -214,14 +214,14 @@
 	v.budget = newBudget(v)
 	probes := prober.New(prober.Deps{
 		Tracker: v.tracker, Carrier: v.carrier, Meter: v.meter, Now: time.Now, Log: log,
-		Rejected: func(status int, h http.Header) bool { return p.Verdict(status, h).NotRun },
+		Rejected: func(status int, h http.Header) bool { return p.ParseResponse(status, h).NotRun },
 	})
 	v.relayer = relayer.New(relayer.Deps{
-		Table: v.table.Load, Configured: v.configured, Dialect: p, Allocator: v.allocator, Tracker: v.tracker, Carrier: v.carrier,
-		Reserver: reserver.New(s.VM+"-"+strconv.FormatInt(v.boot, 36)+"-", p, v.lease, log),
-		Idle:     v.idlePart,
-		Prober:   probes, Budget: v.budget, Quarantine: v.quarantine, Bodies: bounder.New(s.Memory / bodyShare), Meter: v.meter, Now: time.Now, Log: log,
-		Leaving: v.leaving,
+		Table: v.table.Load, Configured: v.configured, Protocol: p, Allocator: v.allocator, Tracker: v.tracker, Carrier: v.carrier,
+		Reserver:     reserver.New(s.VM+"-"+strconv.FormatInt(v.boot, 36)+"-", p, v.lease, log),
+		MaxIdleConns: v.idlePart,
+		Prober:       probes, RetryBudget: v.budget, Quarantine: v.quarantine, BodyMemory: bounder.New(s.Memory / bodyShare), Meter: v.meter, Now: time.Now, Log: log,
+		ShuttingDown: v.leaving,
 	})
 	v.acceptor = acceptor.New(v.callers, v, s.Descriptors/callersShare, time.Now, log)
 	v.newSyncers()
--- a/entry/process/joiner/list_test.go
+++ b/entry/process/joiner/list_test.go
@@ -87,17 +87,17 @@
 	return q, false, nil
 }
 
-func (*slow) Ask(h http.Header) relayer.Ask {
-	return relayer.Ask{ID: h.Get("Id"), Limit: 5 * time.Second}
+func (*slow) ParseRequest(h http.Header) relayer.RequestInfo {
+	return relayer.RequestInfo{ID: h.Get("Id"), Timeout: 5 * time.Second}
 }
 
-func (*slow) Onward(h http.Header, _ relayer.Onward) http.Header { return h.Clone() }
+func (*slow) ForwardHeader(h http.Header, _ relayer.ForwardInfo) http.Header { return h.Clone() }
 
-func (*slow) Verdict(_ int, h http.Header) relayer.Verdict {
-	return relayer.Verdict{ID: h.Get("Id"), Sealed: true}
+func (*slow) ParseResponse(_ int, h http.Header) relayer.ResponseInfo {
+	return relayer.ResponseInfo{ID: h.Get("Id"), Sealed: true}
 }
 
-func (*slow) Event([]byte) string { return "" }
+func (*slow) EventID([]byte) string { return "" }
 
 // free is a loopback address that nobody listens on.
 func free(t *testing.T) string {
--- a/entry/process/server/server.go
+++ b/entry/process/server/server.go
@@ -147,7 +147,7 @@
 		Router: string(v.settings.Policy.Router), Queue: string(v.settings.Policy.Queue),
 		Engines: string(v.settings.Policy.Engines),
 	}, supply{v.coordinator}, v.observer, time.Now)
-	bodies := &reader.Reader{Most: int64(v.settings.Limits.Body), Budget: v.bodies, Patience: patience}
+	bodies := &reader.Reader{MaxBytes: int64(v.settings.Limits.Body), Budget: v.bodies, Timeout: patience}
 	v.keeper = keeper.New(keeper.Deps{Log: v.records, Ticker: v.ticker, Logger: v.log})
 	quarantine := quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: v.log, Spread: v.keeper.Spread, MayTry: v.mayTry})
 	v.keeper.Keep(quarantine)
--- a/entry/request/authenticator/authenticator.go
+++ b/entry/request/authenticator/authenticator.go
@@ -17,7 +17,7 @@
 
 // NotReady is the refusal of a VM that has found no configuration yet.
 func NotReady() *refuser.Refusal {
-	return refuser.New(http.StatusServiceUnavailable, "not_ready", "this VM has no configuration yet").Back(time.Second)
+	return refuser.New(http.StatusServiceUnavailable, "not_ready", "this VM has no configuration yet").WithRetryAfter(time.Second)
 }
 
 // Team returns the team of a request.
@@ -35,7 +35,7 @@
 func Limit(q *http.Request, limit, least, most checker.Duration) (time.Duration, *refuser.Refusal) {
 	d, err := viewer.Limit(q.Header.Get(TimeoutHeader), limit, least, most)
 	if err != nil {
-		return 0, refuser.At(TimeoutHeader, "bad_timeout", "%s", err)
+		return 0, refuser.BadRequest(TimeoutHeader, "bad_timeout", "%s", err)
 	}
 	return d, nil
 }
--- a/entry/request/chatter/answer.go
+++ b/entry/request/chatter/answer.go
@@ -73,7 +73,7 @@
 	h := w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
-	h.Set(refuser.RanHeader, string(refuser.Yes))
+	h.Set(refuser.RanHeader, string(refuser.RanYes))
 	w.WriteHeader(http.StatusOK)
 	c.prefix = c.open([]byte("data: "), "chat.completion.chunk")
 	c.buffer = append(c.buffer[:0], c.prefix...)
@@ -155,7 +155,7 @@
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(b)))
-	h.Set(refuser.RanHeader, string(refuser.Yes))
+	h.Set(refuser.RanHeader, string(refuser.RanYes))
 	w.WriteHeader(http.StatusOK)
 	_, err = w.Write(b)
 	return err
--- a/entry/request/chatter/chatter.go
+++ b/entry/request/chatter/chatter.go
@@ -198,7 +198,7 @@
 	// The prompt has been taken out of it: the memory of the body as read can
 	// go while the request waits.
 	body.Data = nil
-	j := &job{id: c.id(), arrived: arrived, view: v, team: team, chat: chat, body: body, ran: refuser.No, fingerprint: fingerprint}
+	j := &job{id: c.id(), arrived: arrived, view: v, team: team, chat: chat, body: body, ran: refuser.RanNo, fingerprint: fingerprint}
 	if refusal := j.measure(v, q); refusal != nil {
 		body.Release()
 		return nil, refusal
@@ -207,7 +207,7 @@
 }
 
 func quarantined(after time.Duration) *refuser.Refusal {
-	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the request has crashed the upstreams that ran it").Back(after)
+	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the request has crashed the upstreams that ran it").WithRetryAfter(after)
 }
 
 func (c *Chatter) id() string {
@@ -219,7 +219,7 @@
 func (j *job) measure(v *viewer.View, q *http.Request) *refuser.Refusal {
 	pool, ok := v.Model(j.chat.Model)
 	if !ok {
-		r := refuser.At("model", "model_not_found", "there is no model %.60q", j.chat.Model)
+		r := refuser.BadRequest("model", "model_not_found", "there is no model %.60q", j.chat.Model)
 		r.Status = http.StatusNotFound
 		return r
 	}
@@ -231,12 +231,12 @@
 		j.output = min(j.chat.Output, m.Output)
 	}
 	if j.tokens+j.output > m.Context {
-		return refuser.At("messages", "context_length_exceeded",
+		return refuser.BadRequest("messages", "context_length_exceeded",
 			"the prompt's %d tokens and %d of answer are over the model's %d", j.tokens, j.output, m.Context)
 	}
 	class, ok := v.Class(j.tokens)
 	if !ok {
-		return refuser.At("messages", "context_length_exceeded", "no class of work takes a prompt of %d tokens", j.tokens)
+		return refuser.BadRequest("messages", "context_length_exceeded", "no class of work takes a prompt of %d tokens", j.tokens)
 	}
 	limit, refusal := authenticator.Limit(q, class.Limit, class.Least, class.Most)
 	if refusal != nil {
--- a/entry/request/chatter/fake_test.go
+++ b/entry/request/chatter/fake_test.go
@@ -158,7 +158,7 @@
 		p.mu.Unlock()
 		return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: u, Tokens: c.Ask.Tokens, Slot: place{places: p}}}}, nil
 	}
-	return nil, refuser.New(http.StatusTooManyRequests, "saturated", "full").Back(time.Second)
+	return nil, refuser.New(http.StatusTooManyRequests, "saturated", "full").WithRetryAfter(time.Second)
 }
 
 func (p *places) Begun(dispatcher.Call, *dispatcher.Grant) {}
@@ -209,7 +209,7 @@
 	view := viewer.New(1, m, func(string, string) bool { return false })
 	c := chatter.New(chatter.Config{VM: "vm1", Boot: 3}, chatter.Deps{
 		Views:      func() *viewer.View { return view },
-		Reader:     &reader.Reader{Most: longest, Budget: r.bodies, Patience: 200 * time.Millisecond},
+		Reader:     &reader.Reader{MaxBytes: longest, Budget: r.bodies, Timeout: 200 * time.Millisecond},
 		Acquirer:   r.places,
 		Streamer:   streamer.New(&http.Client{Transport: upstream}),
 		Canceller:  r.cancels,
--- a/entry/request/chatter/models.go
+++ b/entry/request/chatter/models.go
@@ -53,7 +53,7 @@
 
 func (c *Chatter) show(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set(refuser.RanHeader, string(refuser.Yes))
+	w.Header().Set(refuser.RanHeader, string(refuser.RanYes))
 	if err := json.NewEncoder(w).Encode(v); err != nil {
 		c.meter.Count("models.unsent", 1)
 	}
--- a/entry/request/chatter/run.go
+++ b/entry/request/chatter/run.go
@@ -71,9 +71,9 @@
 // have been begun by an engine, "run" only when a token has come.
 func (j *job) note(a *attempt, f *failure) {
 	if a.first {
-		j.ran = refuser.Yes
-	} else if f != nil && f.sent && j.ran == refuser.No {
-		j.ran = refuser.Unknown
+		j.ran = refuser.RanYes
+	} else if f != nil && f.sent && j.ran == refuser.RanNo {
+		j.ran = refuser.RanUnknown
 	}
 }
 
@@ -88,7 +88,7 @@
 // truthful keeps a refusal from saying "not run" after an earlier attempt that
 // may have run.
 func (j *job) truthful(r *refuser.Refusal) *refuser.Refusal {
-	return r.Having(j.ran)
+	return r.WithRan(j.ran)
 }
 
 // again decides whether the work is sent to another upstream; where it is not,
@@ -148,12 +148,12 @@
 // refusal is what the caller is told.
 func (f *failure) refusal(ctx context.Context, j *job) *refuser.Refusal {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return refuser.New(http.StatusGatewayTimeout, "timeout", "the time limit is over").Having(j.ran)
+		return refuser.New(http.StatusGatewayTimeout, "timeout", "the time limit is over").WithRan(j.ran)
 	}
 	if !f.sent {
-		return refuser.New(http.StatusServiceUnavailable, "upstream_refused", "%s", f.err).Having(j.ran).Back(time.Second)
+		return refuser.New(http.StatusServiceUnavailable, "upstream_refused", "%s", f.err).WithRan(j.ran).WithRetryAfter(time.Second)
 	}
-	return refuser.New(http.StatusBadGateway, "upstream_failed", "the engine failed: %s", f.err).Having(j.ran)
+	return refuser.New(http.StatusBadGateway, "upstream_failed", "the engine failed: %s", f.err).WithRan(j.ran)
 }
 
 // An attempt is one sending of a job to the upstreams of a grant.
--- a/entry/request/parser/parser.go
+++ b/entry/request/parser/parser.go
@@ -87,7 +87,7 @@
 		return nil, syntax(err)
 	}
 	if d.More() {
-		return nil, refuser.At("", "bad_json", "more than one JSON value stands in the body, the second at byte %d", d.InputOffset())
+		return nil, refuser.BadRequest("", "bad_json", "more than one JSON value stands in the body, the second at byte %d", d.InputOffset())
 	}
 	return q.chat()
 }
@@ -95,15 +95,15 @@
 func (q *request) chat() (*Chat, *refuser.Refusal) {
 	switch {
 	case q.Model == "":
-		return nil, refuser.At("model", "missing", "model is missing")
+		return nil, refuser.BadRequest("model", "missing", "model is missing")
 	case len(q.Messages) == 0:
-		return nil, refuser.At("messages", "missing", "messages is missing or empty")
+		return nil, refuser.BadRequest("messages", "missing", "messages is missing or empty")
 	case len(q.Messages) > mostMessages:
-		return nil, refuser.At("messages", "too_many", "there are more than %d messages", mostMessages)
+		return nil, refuser.BadRequest("messages", "too_many", "there are more than %d messages", mostMessages)
 	case q.N != nil && *q.N != 1:
-		return nil, refuser.At("n", "unsupported", "only one choice can be asked for")
+		return nil, refuser.BadRequest("n", "unsupported", "only one choice can be asked for")
 	case len(q.Tools) > 0:
-		return nil, refuser.At("tools", "unsupported", "tools are not supported")
+		return nil, refuser.BadRequest("tools", "unsupported", "tools are not supported")
 	}
 	output, refusal := q.output()
 	if refusal != nil {
@@ -127,7 +127,7 @@
 		return 0, nil
 	}
 	if *most < 1 {
-		return 0, refuser.At(place, "bad_value", "%s must be at least 1", place)
+		return 0, refuser.BadRequest(place, "bad_value", "%s must be at least 1", place)
 	}
 	return *most, nil
 }
@@ -137,7 +137,7 @@
 	for i, m := range q.Messages {
 		if m.Role == "" {
 			place := fmt.Sprintf("messages[%d].role", i)
-			return "", refuser.At(place, "missing", "%s is missing", place)
+			return "", refuser.BadRequest(place, "missing", "%s is missing", place)
 		}
 		size += len(m.Role) + len(m.Content) + len(": \n")
 	}
@@ -160,14 +160,14 @@
 func syntax(err error) *refuser.Refusal {
 	var s *json.SyntaxError
 	if errors.As(err, &s) {
-		return refuser.At("", "bad_json", "the body is not JSON: %s at byte %d", s, s.Offset)
+		return refuser.BadRequest("", "bad_json", "the body is not JSON: %s at byte %d", s, s.Offset)
 	}
 	var t *json.UnmarshalTypeError
 	if errors.As(err, &t) {
-		return refuser.At(t.Field, "bad_type", "%s cannot be a %s", t.Field, t.Value)
+		return refuser.BadRequest(t.Field, "bad_type", "%s cannot be a %s", t.Field, t.Value)
 	}
 	if errors.Is(err, errPart) {
-		return refuser.At("messages", "unsupported", "%s", err)
+		return refuser.BadRequest("messages", "unsupported", "%s", err)
 	}
-	return refuser.At("", "bad_json", "the body is not whole JSON")
+	return refuser.BadRequest("", "bad_json", "the body is not whole JSON")
 }
--- a/entry/request/parser/parser_test.go
+++ b/entry/request/parser/parser_test.go
@@ -56,8 +56,8 @@
 			assert.Assert(t, refusal != nil)
 			assert.Equal(t, refusal.Param, test.param)
 			assert.Equal(t, refusal.Code, test.code)
-			assert.Equal(t, refusal.Ran, refuser.No)
-			assert.Assert(t, strings.Contains(refusal.Text, test.text), refusal.Text)
+			assert.Equal(t, refusal.Ran, refuser.RanNo)
+			assert.Assert(t, strings.Contains(refusal.Message, test.text), refusal.Message)
 		})
 	}
 }
--- a/entry/request/passer/keyed.go
+++ b/entry/request/passer/keyed.go
@@ -49,14 +49,14 @@
 	defer cancel()
 	o := p.run(ctx, c, func() *refuser.Refusal {
 		if err := t.Check(); err != nil {
-			return refuser.New(http.StatusServiceUnavailable, "key_late", "%s", err).Back(checkRetry)
+			return refuser.New(http.StatusServiceUnavailable, "key_late", "%s", err).WithRetryAfter(checkRetry)
 		}
 		return nil
 	})
 	switch {
-	case o.answer != nil && o.answer.ran == refuser.Yes:
+	case o.answer != nil && o.answer.ran == refuser.RanYes:
 		t.Done(o.answer.outcome())
-	case o.answer == nil && o.refusal.Ran == refuser.No:
+	case o.answer == nil && o.refusal.Ran == refuser.RanNo:
 		t.Abandon()
 	default:
 		t.Done(recorder.Outcome{Unknown: true})
@@ -89,7 +89,7 @@
 	if !o.Kept {
 		h.Set(ReplayHeader, "true; body=dropped")
 	}
-	h.Set(refuser.RanHeader, string(refuser.Yes))
+	h.Set(refuser.RanHeader, string(refuser.RanYes))
 	w.WriteHeader(o.Status)
 	w.Write(o.Body)
 }
--- a/entry/request/passer/passer.go
+++ b/entry/request/passer/passer.go
@@ -177,7 +177,7 @@
 		return nil, refuser.New(http.StatusNotFound, "service_not_found", "there is no service %.60q", name)
 	}
 	if q.Header.Get("Upgrade") != "" {
-		return nil, refuser.At("Upgrade", "unsupported", "calls cannot change their protocol")
+		return nil, refuser.BadRequest("Upgrade", "unsupported", "calls cannot change their protocol")
 	}
 	s := v.Manifest.Services[name]
 	limit, refusal := authenticator.Limit(q, s.Limit, s.Least, s.Most)
@@ -190,7 +190,7 @@
 	}
 	c := &call{
 		id: p.id(), method: q.Method, path: "/" + path, service: name, team: team, pool: pool, view: v,
-		header: trimmer.Onward(q.Header), body: body, arrived: arrived, deadline: arrived.Add(limit),
+		header: trimmer.EndToEndHeaders(q.Header), body: body, arrived: arrived, deadline: arrived.Add(limit),
 		repeatable: v.Repeatable(name, q.Method, q.URL.Path[min(len(q.URL.Path), len(Prefix)+len(name)):]),
 	}
 	if q.URL.RawQuery != "" {
@@ -201,7 +201,7 @@
 }
 
 func quarantined(after time.Duration) *refuser.Refusal {
-	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the call has crashed the upstreams that ran it").Back(after)
+	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the call has crashed the upstreams that ran it").WithRetryAfter(after)
 }
 
 func (p *Passer) id() string {
--- a/entry/request/passer/passer_test.go
+++ b/entry/request/passer/passer_test.go
@@ -98,7 +98,7 @@
 	}, func(string, string) bool { return false })
 	handler := passer.New("vm1", 3, passer.Deps{
 		Views:    func() *viewer.View { return view },
-		Reader:   &reader.Reader{Most: 4096, Budget: bounder.New(1 << 20), Patience: time.Second},
+		Reader:   &reader.Reader{MaxBytes: 4096, Budget: bounder.New(1 << 20), Timeout: time.Second},
 		Acquirer: p, Watcher: deaf{}, Meter: meter.New(), Now: time.Now,
 		Retrier:    retrier.New(retrier.Config{}, rand.New(rand.NewPCG(1, 2))),
 		Quarantine: quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Spread: func() {}, MayTry: nobody}),
--- a/entry/request/passer/send.go
+++ b/entry/request/passer/send.go
@@ -82,7 +82,7 @@
 
 func truthful(r *refuser.Refusal, sent bool) *refuser.Refusal {
 	if sent {
-		return r.Having(refuser.Unknown)
+		return r.WithRan(refuser.RanUnknown)
 	}
 	return r
 }
@@ -134,17 +134,17 @@
 }
 
 func (f *failure) refusal(ctx context.Context) *refuser.Refusal {
-	ran := refuser.No
+	ran := refuser.RanNo
 	if f.sent {
-		ran = refuser.Unknown
+		ran = refuser.RanUnknown
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return refuser.New(http.StatusGatewayTimeout, "timeout", "the time limit is over").Having(ran)
+		return refuser.New(http.StatusGatewayTimeout, "timeout", "the time limit is over").WithRan(ran)
 	}
 	if !f.sent {
-		return refuser.New(http.StatusServiceUnavailable, "upstream_refused", "the service did not take the call").Back(max(f.after, time.Second))
+		return refuser.New(http.StatusServiceUnavailable, "upstream_refused", "the service did not take the call").WithRetryAfter(max(f.after, time.Second))
 	}
-	return refuser.New(http.StatusBadGateway, "upstream_failed", "the service took the call and its answer was lost").Having(ran)
+	return refuser.New(http.StatusBadGateway, "upstream_failed", "the service took the call and its answer was lost").WithRan(ran)
 }
 
 // send sends a call once.
@@ -195,7 +195,7 @@
 
 func (p *Passer) receive(c *call, g *dispatcher.Grant, response *http.Response) (*answer, *failure) {
 	part := g.Parts[0]
-	if response.Header.Get(ranHeader) == string(refuser.No) {
+	if response.Header.Get(ranHeader) == string(refuser.RanNo) {
 		g.Done(dispatcher.Refused)
 		if response.StatusCode == http.StatusServiceUnavailable {
 			p.deps.Watcher.Turned(part.Upstream.Name, 0, "down")
@@ -212,7 +212,7 @@
 		return nil, &failure{err: err, sent: true}
 	}
 	g.Done(dispatcher.Completed)
-	a := &answer{status: response.StatusCode, header: trimmer.Onward(response.Header), body: body, upstream: part.Upstream.Name, tries: c.tries}
+	a := &answer{status: response.StatusCode, header: trimmer.EndToEndHeaders(response.Header), body: body, upstream: part.Upstream.Name, tries: c.tries}
 	a.ran = ran(response.StatusCode)
 	return a, nil
 }
@@ -222,9 +222,9 @@
 func ran(status int) refuser.Ran {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		return refuser.Unknown
+		return refuser.RanUnknown
 	}
-	return refuser.Yes
+	return refuser.RanYes
 }
 
 func (p *Passer) answer(w http.ResponseWriter, o outcome) {
--- a/entry/request/reader/reader.go
+++ b/entry/request/reader/reader.go
@@ -14,10 +14,10 @@
 	"github.com/heathervane/heathervane/entry/request/refuser"
 )
 
-// Copies is how many copies of a body stand in memory at worst while it is
+// CopiesPerBody is how many copies of a body stand in memory at worst while it is
 // parsed and sent on: as read, as the prompt taken from it, as encoded for the
 // upstream.
-const Copies = 3
+const CopiesPerBody = 3
 
 // step is how much a body of unknown length reserves at a time, in bytes.
 const step = 64 << 10
@@ -26,27 +26,27 @@
 // only until they are sent on, which takes less than this.
 const retry = time.Second
 
-// A Budget bounds bytes over all requests.
-type Budget interface {
+// A MemoryBudget bounds bytes over all requests.
+type MemoryBudget interface {
 	Take(n int64) bool
 	Give(n int64)
 }
 
 // A Reader reads bodies.
 type Reader struct {
-	// Most is the longest body in bytes.
-	Most int64
+	// MaxBytes is the longest body in bytes.
+	MaxBytes int64
 	// Budget bounds the memory of all bodies.
-	Budget Budget
-	// Patience is how long a body may take from its first byte to its last.
+	Budget MemoryBudget
+	// Timeout is how long a body may take from its first byte to its last.
 	// A caller who sends half a body and stops would else hold its memory.
-	Patience time.Duration
+	Timeout time.Duration
 }
 
 // A Body is what was read. Its memory counts until Release.
 type Body struct {
 	Data   []byte
-	budget Budget
+	budget MemoryBudget
 	held   int64
 }
 
@@ -62,11 +62,11 @@
 
 // Read reads the body of a request, or says why not.
 func (r *Reader) Read(w http.ResponseWriter, q *http.Request) (*Body, *refuser.Refusal) {
-	if q.ContentLength > r.Most {
+	if q.ContentLength > r.MaxBytes {
 		return nil, r.large()
 	}
 	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(time.Now().Add(r.Patience)); err == nil {
+	if err := control.SetReadDeadline(time.Now().Add(r.Timeout)); err == nil {
 		defer control.SetReadDeadline(time.Time{}) //nolint:errcheck // a closed connection shows at the next read
 	}
 	b := &Body{budget: r.Budget}
@@ -98,7 +98,7 @@
 		}
 		n, err := q.Body.Read(b.Data[len(b.Data):cap(b.Data)])
 		b.Data = b.Data[:len(b.Data)+n]
-		if int64(len(b.Data)) > r.Most {
+		if int64(len(b.Data)) > r.MaxBytes {
 			return r.large()
 		}
 		if errors.Is(err, io.EOF) {
@@ -111,19 +111,19 @@
 }
 
 func (b *Body) grow(n int64) bool {
-	if !b.budget.Take(n * Copies) {
+	if !b.budget.Take(n * CopiesPerBody) {
 		return false
 	}
-	b.held += n * Copies
+	b.held += n * CopiesPerBody
 	return true
 }
 
 func (r *Reader) large() *refuser.Refusal {
-	return refuser.New(http.StatusRequestEntityTooLarge, "body_too_large", "the body is longer than %d bytes", r.Most)
+	return refuser.New(http.StatusRequestEntityTooLarge, "body_too_large", "the body is longer than %d bytes", r.MaxBytes)
 }
 
 func full() *refuser.Refusal {
-	return refuser.New(http.StatusServiceUnavailable, "memory", "no memory is free for a body of this length").Back(retry)
+	return refuser.New(http.StatusServiceUnavailable, "memory", "no memory is free for a body of this length").WithRetryAfter(retry)
 }
 
 func broken(err error) *refuser.Refusal {
--- a/entry/request/refuser/refuser.go
+++ b/entry/request/refuser/refuser.go
@@ -28,11 +28,11 @@
 // Ran says whether the work of a request ran at an upstream.
 type Ran string
 
-// The values of Ran. No may be said only where nothing can have been sent.
+// The values of Ran. RanNo may be said only where nothing can have been sent.
 const (
-	No      Ran = "no"
-	Unknown Ran = "unknown"
-	Yes     Ran = "yes"
+	RanNo      Ran = "no"
+	RanUnknown Ran = "unknown"
+	RanYes     Ran = "yes"
 )
 
 // A Refusal is a request given up.
@@ -40,43 +40,43 @@
 	// Status is the HTTP status.
 	Status int
 	// Code is a short word for programs; Text a sentence for people.
-	Code string
-	Text string
+	Code    string
+	Message string
 	// Param names the place in the request that was wrong, if any did.
 	Param string
 	// Ran says whether the work ran.
 	Ran Ran
-	// After is when coming back helps; zero where it does not.
-	After time.Duration
+	// RetryAfter is when coming back helps; zero where it does not.
+	RetryAfter time.Duration
 }
 
 // New returns a Refusal whose work did not run.
 func New(status int, code, format string, args ...any) *Refusal {
-	return &Refusal{Status: status, Code: code, Text: fmt.Sprintf(format, args...), Ran: No}
+	return &Refusal{Status: status, Code: code, Message: fmt.Sprintf(format, args...), Ran: RanNo}
 }
 
-// At returns a Refusal of bad input at a place of the request.
-func At(param, code, format string, args ...any) *Refusal {
+// BadRequest returns a Refusal of bad input at a place of the request.
+func BadRequest(param, code, format string, args ...any) *Refusal {
 	r := New(http.StatusBadRequest, code, format, args...)
 	r.Param = param
 	return r
 }
 
-// Back sets when coming back helps.
-func (r *Refusal) Back(after time.Duration) *Refusal {
-	r.After = after
+// WithRetryAfter sets when coming back helps.
+func (r *Refusal) WithRetryAfter(after time.Duration) *Refusal {
+	r.RetryAfter = after
 	return r
 }
 
-// Having sets whether the work ran.
-func (r *Refusal) Having(ran Ran) *Refusal {
+// WithRan sets whether the work ran.
+func (r *Refusal) WithRan(ran Ran) *Refusal {
 	r.Ran = ran
 	return r
 }
 
 // String gives the refusal on one line.
 func (r *Refusal) String() string {
-	return r.Code + ": " + r.Text
+	return r.Code + ": " + r.Message
 }
 
 type body struct {
@@ -93,7 +93,7 @@
 
 // Body is the refusal in the error shape of the OpenAI format.
 func (r *Refusal) Body() []byte {
-	d := detail{Message: r.Text, Type: kind(r.Status), Code: r.Code, Ran: r.Ran}
+	d := detail{Message: r.Message, Type: kind(r.Status), Code: r.Code, Ran: r.Ran}
 	if r.Param != "" {
 		d.Param = &r.Param
 	}
@@ -109,13 +109,13 @@
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(RanHeader, string(r.Ran))
-	if r.After > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(r.After.Seconds()))))
+	if r.RetryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(r.RetryAfter.Seconds()))))
 	}
 	// The client libraries of the format retry on their own unless told not
 	// to. Work that ran, or may have, must not be repeated by a library that
 	// cannot know.
-	if r.Ran != No || r.After == 0 {
+	if r.Ran != RanNo || r.RetryAfter == 0 {
 		h.Set("X-Should-Retry", "false")
 	}
 	w.WriteHeader(r.Status)
--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -40,7 +40,7 @@
 	grant    *allocator.Place
 	holding  *reserver.Holding
 	exchange *carrier.Exchange
-	verdict  Verdict
+	verdict  ResponseInfo
 	watch    *watch
 	cancel   context.CancelFunc
 	sent     time.Time
@@ -126,7 +126,7 @@
 	grant, refused := r.deps.Allocator.Acquire(ctx, scheduler.Call{
 		Service: j.service, Priority: j.priority(), Team: j.teamName(),
 		Ask: placer.Ask{
-			Prompt: j.ask.Prompt, Output: j.ask.Output, Tried: j.tried, Pause: float64(j.route.Gap.Milliseconds()),
+			Prompt: j.ask.PromptTokens, Output: j.ask.MaxOutputTokens, Tried: j.tried, Pause: float64(j.route.Gap.Milliseconds()),
 			Arrived: j.arrived, Objective: j.arrived.Add(j.route.Objective), Deadline: j.end, Leaves: leaves,
 		},
 	})
@@ -134,7 +134,7 @@
 	j.trace.waited += now.Sub(from)
 	if refused != nil {
 		j.trace.waits = refused.Waits
-		return nil, refuser.New(http.StatusServiceUnavailable, refused.Code, "no upstream could answer it in time").Back(refused.After)
+		return nil, refuser.New(http.StatusServiceUnavailable, refused.Code, "no upstream could answer it in time").WithRetryAfter(refused.After)
 	}
 	j.trace.waits = grant.Waits
 	t := &try{grant: grant}
@@ -173,7 +173,7 @@
 }
 
 func late() *refuser.Refusal {
-	return refuser.New(http.StatusServiceUnavailable, scheduler.Late, "no upstream could answer it in time").Back(comeBack)
+	return refuser.New(http.StatusServiceUnavailable, scheduler.Late, "no upstream could answer it in time").WithRetryAfter(comeBack)
 }
 
 // reserve sets memory aside where the grant asks for it.
@@ -211,7 +211,7 @@
 // send sends the request once. After answered the answer's head is in the try.
 func (r *Relayer) send(ctx context.Context, j *job, t *try) step {
 	if j.runs+j.refused == 0 {
-		r.deps.Budget.Sent(j.service.Name)
+		r.deps.RetryBudget.RecordRequest(j.service.Name)
 	}
 	id := t.grant.Upstream.ID
 	inner, cancel := context.WithCancel(ctx)
@@ -223,9 +223,9 @@
 		return r.unanswered(ctx, j, t, failure)
 	}
 	t.exchange = x
-	t.verdict = r.deps.Dialect.Verdict(x.Status, x.Header)
-	if t.verdict.Cold > 0 {
-		r.deps.Tracker.TurnedCold(r.deps.Now(), id, t.verdict.Cold)
+	t.verdict = r.deps.Protocol.ParseResponse(x.Status, x.Header)
+	if t.verdict.ColdStart > 0 {
+		r.deps.Tracker.TurnedCold(r.deps.Now(), id, t.verdict.ColdStart)
 	}
 	r.limit(j, t)
 	if foreign(j, x, t.verdict) {
@@ -252,7 +252,7 @@
 
 // limit notes what an upstream says of how much it takes.
 func (r *Relayer) limit(j *job, t *try) {
-	l := tracker.Limit{Limited: t.verdict.Limited, Rate: t.verdict.Rate, AsOf: r.deps.Now()}
+	l := tracker.Limit{Limited: t.verdict.RateLimited, Rate: t.verdict.RateLimit, AsOf: r.deps.Now()}
 	if !l.Limited {
 		// The answer may have been on its way when another one named the limit.
 		l.AsOf = t.sent
@@ -275,7 +275,7 @@
 func bad(status int) bool { return status >= http.StatusInternalServerError }
 
 // foreign says that an answer is not, or may not be, that of this request.
-func foreign(j *job, x *carrier.Exchange, v Verdict) bool {
+func foreign(j *job, x *carrier.Exchange, v ResponseInfo) bool {
 	if v.ID != "" {
 		return v.ID != j.ask.ID
 	}
@@ -283,26 +283,26 @@
 }
 
 func (r *Relayer) request(j *job, t *try, now time.Time) carrier.Request {
-	o := Onward{
-		Left: j.end.Sub(now), Upstream: t.grant.Upstream.ID, Team: j.teamName(), LastEvent: j.lastEvent,
-		Urgent: j.service.Engine != nil && placer.Short(j.service.Engine, j.ask.Prompt),
+	o := ForwardInfo{
+		TimeLeft: j.end.Sub(now), Upstream: t.grant.Upstream.ID, Team: j.teamName(), LastEventID: j.lastEvent,
+		HighPriority: j.service.Engine != nil && placer.Short(j.service.Engine, j.ask.PromptTokens),
 	}
 	named := 0
 	for _, h := range t.grant.Helpers {
 		helper := Helper{Address: h.Address}
 		if h.Tokens > 0 {
-			helper.Memory = t.holding.Names[named]
+			helper.Reservation = t.holding.Names[named]
 			named++
 		}
 		o.Helpers = append(o.Helpers, helper)
 	}
 	q := carrier.Request{
 		Method: j.request.Method, Target: j.request.RequestURI, Host: j.request.Host,
-		Header: r.deps.Dialect.Onward(j.request.Header, o), Body: j.body.Data,
+		Header: r.deps.Protocol.ForwardHeader(j.request.Header, o), Body: j.body.Data,
 		// One that may run only once goes on no kept connection: where that
 		// turns out to be closed, nobody can tell whether it ran.
 		Fresh: !j.route.Repeatable(),
-		Idle:  r.deps.Idle(j.service.Connections, t.grant.Upstream.ID),
+		Idle:  r.deps.MaxIdleConns(j.service.Connections, t.grant.Upstream.ID),
 	}
 	return q
 }
@@ -369,13 +369,13 @@
 func (r *Relayer) declined(ctx context.Context, j *job, t *try) step {
 	at := t.grant.Upstream.ID
 	for _, h := range t.grant.Helpers {
-		if t.verdict.Fault != "" && h.Address == t.verdict.Fault {
+		if t.verdict.FaultyAddress != "" && h.Address == t.verdict.FaultyAddress {
 			at = h.ID
 		}
 	}
 	j.refused++
 	r.note(j, at, "upstream declined")
-	if t.verdict.Misplaced {
+	if t.verdict.Misdirected {
 		r.deps.Tracker.Misplaced(at)
 		return failed
 	}
@@ -400,7 +400,7 @@
 		j.trace.cause += ", quarantined"
 		return false
 	}
-	if !r.deps.Budget.Take(j.service.Name) {
+	if !r.deps.RetryBudget.TakeRetry(j.service.Name) {
 		r.deps.Meter.Count("repeats.refused", 1)
 		j.trace.cause += ", no budget for a repeat"
 		return false
@@ -430,15 +430,15 @@
 func (j *job) failed(ctx context.Context) *refuser.Refusal {
 	switch {
 	case j.runs == 0:
-		return refuser.New(http.StatusServiceUnavailable, "declined", "no upstream took the request").Back(comeBack)
+		return refuser.New(http.StatusServiceUnavailable, "declined", "no upstream took the request").WithRetryAfter(comeBack)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return refuser.New(http.StatusGatewayTimeout, "timeout", "the time limit is over").Having(refuser.Unknown)
+		return refuser.New(http.StatusGatewayTimeout, "timeout", "the time limit is over").WithRan(refuser.RanUnknown)
 	}
 	return lost()
 }
 
 func lost() *refuser.Refusal {
-	return refuser.New(http.StatusBadGateway, "lost", "an upstream took the request and its answer was lost").Having(refuser.Unknown)
+	return refuser.New(http.StatusBadGateway, "lost", "an upstream took the request and its answer was lost").WithRan(refuser.RanUnknown)
 }
 
 // truthful makes of a refusal that says "not run" one that does not, where the
--- a/entry/request/relayer/harness_test.go
+++ b/entry/request/relayer/harness_test.go
@@ -36,32 +36,32 @@
 // A dialect says everything in headers of its own.
 type dialect struct{}
 
-func (dialect) Ask(h http.Header) relayer.Ask {
+func (dialect) ParseRequest(h http.Header) relayer.RequestInfo {
 	prompt, _ := strconv.Atoi(h.Get("Prompt"))
 	limit, _ := time.ParseDuration(h.Get("Limit"))
-	return relayer.Ask{ID: h.Get("Id"), Limit: limit, Key: h.Get("Key"), Prompt: prompt, Output: 10, LastEvent: h.Get("Last")}
+	return relayer.RequestInfo{ID: h.Get("Id"), Timeout: limit, APIKey: h.Get("Key"), PromptTokens: prompt, MaxOutputTokens: 10, LastEventID: h.Get("Last")}
 }
 
-func (dialect) Onward(from http.Header, o relayer.Onward) http.Header {
-	h := trimmer.Onward(from)
+func (dialect) ForwardHeader(from http.Header, o relayer.ForwardInfo) http.Header {
+	h := trimmer.EndToEndHeaders(from)
 	h.Del("Content-Length")
 	h.Set("Upstream", o.Upstream)
 	h.Set("Team", o.Team)
-	h.Set("Last", o.LastEvent)
+	h.Set("Last", o.LastEventID)
 	for _, helper := range o.Helpers {
-		h.Add("Helper", helper.Address+"/"+helper.Memory)
+		h.Add("Helper", helper.Address+"/"+helper.Reservation)
 	}
 	return h
 }
 
-func (dialect) Verdict(status int, h http.Header) relayer.Verdict {
-	return relayer.Verdict{
-		ID: h.Get("Id"), Sealed: h.Get("Sealed") != "", Fault: h.Get("Fault"),
-		NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest, Misplaced: status == http.StatusMisdirectedRequest,
+func (dialect) ParseResponse(status int, h http.Header) relayer.ResponseInfo {
+	return relayer.ResponseInfo{
+		ID: h.Get("Id"), Sealed: h.Get("Sealed") != "", FaultyAddress: h.Get("Fault"),
+		NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest, Misdirected: status == http.StatusMisdirectedRequest,
 	}
 }
 
-func (dialect) Event(event []byte) string {
+func (dialect) EventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if id, ok := bytes.CutPrefix(line, []byte("id: ")); ok {
 			return string(bytes.TrimSpace(id))
@@ -82,8 +82,8 @@
 	taken int
 }
 
-func (p *purse) Sent(string) {}
-func (p *purse) Take(string) bool {
+func (p *purse) RecordRequest(string) {}
+func (p *purse) TakeRetry(string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.left == 0 {
@@ -221,16 +221,16 @@
 		ColdPart: func(string, float64, bool) int { return 0 }, Now: time.Now, Log: zerolog.Nop(),
 	})
 	r := relayer.New(relayer.Deps{
-		Table: b.inForce, Configured: b.configured, Dialect: dialect{}, Allocator: places, Tracker: b.tracker, Carrier: b.carrier,
+		Table: b.inForce, Configured: b.configured, Protocol: dialect{}, Allocator: places, Tracker: b.tracker, Carrier: b.carrier,
 		Reserver: reserver.New("me-", b.memory, func() time.Duration { return time.Second }, zerolog.Nop()),
 		Prober: prober.New(prober.Deps{
 			Tracker: b.tracker, Carrier: b.carrier, Meter: b.meter, Now: time.Now, Log: zerolog.Nop(),
-			Rejected: func(status int, h http.Header) bool { return dialect{}.Verdict(status, h).NotRun },
+			Rejected: func(status int, h http.Header) bool { return dialect{}.ParseResponse(status, h).NotRun },
 		}),
-		Idle:       func(int, string) int { return 0 },
-		Quarantine: late{&b.held, quarantiner.New(quarantiner.Deps{Meter: b.meter, Now: time.Now, Log: zerolog.Nop(), Spread: func() {}, MayTry: func(quarantiner.Fingerprint) bool { return false }})},
-		Budget:     b.purse, Bodies: bounder.New(8 << 20), Meter: b.meter, Now: time.Now, Log: zerolog.Nop(),
-		Leaving: func() (bool, time.Duration) { return b.left.Load() > 0, time.Duration(b.left.Load()) },
+		MaxIdleConns: func(int, string) int { return 0 },
+		Quarantine:   late{&b.held, quarantiner.New(quarantiner.Deps{Meter: b.meter, Now: time.Now, Log: zerolog.Nop(), Spread: func() {}, MayTry: func(quarantiner.Fingerprint) bool { return false }})},
+		RetryBudget:  b.purse, BodyMemory: bounder.New(8 << 20), Meter: b.meter, Now: time.Now, Log: zerolog.Nop(),
+		ShuttingDown: func() (bool, time.Duration) { return b.left.Load() > 0, time.Duration(b.left.Load()) },
 	})
 	b.server = httptest.NewServer(r)
 	// Cleanups run last first: places are counted once all requests have ended,
--- a/entry/request/relayer/relayer.go
+++ b/entry/request/relayer/relayer.go
@@ -52,40 +52,40 @@
 	writeSpare = time.Second
 )
 
-// An Ask is what a caller says of its request.
-type Ask struct {
+// A RequestInfo is what a caller says of its request.
+type RequestInfo struct {
 	// ID names the request; its upstream's answer bears it.
 	ID string
-	// Limit is how long the caller waits; 0 where it does not say.
-	Limit time.Duration
-	// Key proves the caller's team.
-	Key string
-	// Prompt and Output are the tokens of the prompt and the most of the
+	// Timeout is how long the caller waits; 0 where it does not say.
+	Timeout time.Duration
+	// APIKey proves the caller's team.
+	APIKey string
+	// PromptTokens and MaxOutputTokens are the tokens of the prompt and the most of the
 	// answer.
-	Prompt, Output int
-	// LastEvent is the last event that the caller has of this stream.
-	LastEvent string
+	PromptTokens, MaxOutputTokens int
+	// LastEventID is the last event that the caller has of this stream.
+	LastEventID string
 }
 
 // A Helper is an upstream that reads a part of a prompt, and the name of the
 // memory set aside there, if any is.
 type Helper struct {
-	Address, Memory string
+	Address, Reservation string
 }
 
-// An Onward is what an upstream is told beside the caller's own headers.
-type Onward struct {
-	Left      time.Duration
-	Upstream  string
-	Team      string
-	LastEvent string
-	Helpers   []Helper
-	// Urgent says that the request goes before others at the engine.
-	Urgent bool
+// A ForwardInfo is what an upstream is told beside the caller's own headers.
+type ForwardInfo struct {
+	TimeLeft    time.Duration
+	Upstream    string
+	Team        string
+	LastEventID string
+	Helpers     []Helper
+	// HighPriority says that the request goes before others at the engine.
+	HighPriority bool
 }
 
-// A Verdict is what the head of an upstream's answer says.
-type Verdict struct {
+// A ResponseInfo is what the head of an upstream's answer says.
+type ResponseInfo struct {
 	// ID is the request that is answered; empty where it does not say.
 	ID string
 	// Sealed says that the answer is the upstream's own and complete in
@@ -93,26 +93,26 @@
 	Sealed bool
 	// NotRun says that the upstream did not run the request and will not.
 	NotRun bool
-	// Misplaced says that another upstream has that address now.
-	Misplaced bool
-	// Fault is the address of the upstream at fault where several worked.
-	Fault string
-	// Cold is how long the upstream stays in cold start.
-	Cold time.Duration
-	// Limited says that the upstream takes no more than Rate requests a second from
+	// Misdirected says that another upstream has that address now.
+	Misdirected bool
+	// FaultyAddress is the address of the upstream at fault where several worked.
+	FaultyAddress string
+	// ColdStart is how long the upstream stays in cold start.
+	ColdStart time.Duration
+	// RateLimited says that the upstream takes no more than Rate requests a second from
 	// all VMs together, for as long as its answers say so.
-	Limited bool
-	Rate    float64
+	RateLimited bool
+	RateLimit   float64
 }
 
-// A Dialect is how callers and upstreams say things.
-type Dialect interface {
-	Ask(h http.Header) Ask
-	// Onward makes the headers for an upstream from the caller's.
-	Onward(h http.Header, o Onward) http.Header
-	Verdict(status int, h http.Header) Verdict
-	// Event gives the id of an event of a stream; empty where it has none.
-	Event(event []byte) string
+// A Protocol is how callers and upstreams say things.
+type Protocol interface {
+	ParseRequest(h http.Header) RequestInfo
+	// ForwardHeader makes the headers for an upstream from the caller's.
+	ForwardHeader(h http.Header, o ForwardInfo) http.Header
+	ParseResponse(status int, h http.Header) ResponseInfo
+	// EventID gives the id of an event of a stream; empty where it has none.
+	EventID(event []byte) string
 }
 
 // A Meter counts.
@@ -121,10 +121,10 @@
 	Time(name string, d time.Duration)
 }
 
-// A Budget bounds repeats in sum over all VMs.
-type Budget interface {
-	Sent(service string)
-	Take(service string) bool
+// A RetryBudget bounds repeats in sum over all VMs.
+type RetryBudget interface {
+	RecordRequest(service string)
+	TakeRetry(service string) bool
 }
 
 // A Quarantine keeps requests from upstreams that crash whoever runs them, at all
@@ -148,26 +148,26 @@
 	Table func() *matcher.Table
 	// Configured is closed once there is a table.
 	Configured <-chan struct{}
-	Dialect    Dialect
+	Protocol   Protocol
 	// Allocator gives places at upstreams.
 	Allocator *allocator.Allocator
 	Tracker   *tracker.Tracker
 	Carrier   *carrier.Carrier
 	Reserver  *reserver.Reserver
-	// Idle is how many idle connections this VM may keep to an upstream of a service
+	// MaxIdleConns is how many idle connections this VM may keep to an upstream of a service
 	// that accepts so many from all VMs, as in carrier.Request.
-	Idle func(connections int, upstream string) int
+	MaxIdleConns func(connections int, upstream string) int
 	// Prober finds out which upstreams leave where one has declined to help.
-	Prober *prober.Prober
-	Budget Budget
+	Prober      *prober.Prober
+	RetryBudget RetryBudget
 	// Quarantine knows the requests that crash upstreams.
 	Quarantine Quarantine
-	Bodies     reader.Budget
+	BodyMemory reader.MemoryBudget
 	Meter      Meter
 	Now        func() time.Time
 	Log        zerolog.Logger
-	// Leaving says that this VM is about to stop, and how long it has left.
-	Leaving func() (bool, time.Duration)
+	// ShuttingDown says that this VM is about to stop, and how long it has left.
+	ShuttingDown func() (bool, time.Duration)
 }
 
 // A Relayer passes requests on.
@@ -181,7 +181,7 @@
 
 // A job is one request on its way.
 type job struct {
-	ask     Ask
+	ask     RequestInfo
 	route   *matcher.Route
 	service *matcher.Service
 	team    *matcher.Team
@@ -230,10 +230,10 @@
 func (r *Relayer) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	arrived := r.deps.Now()
 	r.deps.Meter.Count("requests", 1)
-	if leaving, _ := r.deps.Leaving(); leaving {
+	if leaving, _ := r.deps.ShuttingDown(); leaving {
 		w.Header().Set("Connection", "close")
 	}
-	j := &job{ask: r.deps.Dialect.Ask(q.Header), request: q, arrived: arrived}
+	j := &job{ask: r.deps.Protocol.ParseRequest(q.Header), request: q, arrived: arrived}
 	if refusal := r.accept(w, j); refusal != nil {
 		r.refuse(w, j, refusal)
 		return
@@ -256,26 +256,26 @@
 func (r *Relayer) accept(w http.ResponseWriter, j *job) *refuser.Refusal {
 	table := r.await(j)
 	if table == nil {
-		return refuser.New(http.StatusServiceUnavailable, "not_ready", "this VM has no configuration yet").Back(comeBack)
+		return refuser.New(http.StatusServiceUnavailable, "not_ready", "this VM has no configuration yet").WithRetryAfter(comeBack)
 	}
 	j.version = table.Version
 	if refusal := r.identify(table, j); refusal != nil {
 		return refusal
 	}
 	limit := j.route.Timeout
-	if j.ask.Limit > 0 && (limit == 0 || j.ask.Limit < limit) {
-		limit = j.ask.Limit
+	if j.ask.Timeout > 0 && (limit == 0 || j.ask.Timeout < limit) {
+		limit = j.ask.Timeout
 	}
 	if limit == 0 {
 		limit = defaultLimit
 	}
 	j.end = j.arrived.Add(limit)
-	if leaving, left := r.deps.Leaving(); leaving && left < r.lasts(j) {
-		return refuser.New(http.StatusServiceUnavailable, "leaving", "this VM is about to stop").Back(comeBack)
+	if leaving, left := r.deps.ShuttingDown(); leaving && left < r.lasts(j) {
+		return refuser.New(http.StatusServiceUnavailable, "leaving", "this VM is about to stop").WithRetryAfter(comeBack)
 	}
-	bodies := reader.Reader{Most: table.Limits.Body, Budget: r.deps.Bodies, Patience: min(limit, bodyTime)}
-	if bodies.Most <= 0 {
-		bodies.Most = mostWhole
+	bodies := reader.Reader{MaxBytes: table.Limits.Body, Budget: r.deps.BodyMemory, Timeout: min(limit, bodyTime)}
+	if bodies.MaxBytes <= 0 {
+		bodies.MaxBytes = mostWhole
 	}
 	body, refusal := bodies.Read(w, j.request)
 	if refusal != nil {
@@ -292,7 +292,7 @@
 }
 
 func quarantined(after time.Duration) *refuser.Refusal {
-	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the request has crashed the upstreams that ran it").Back(after)
+	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the request has crashed the upstreams that ran it").WithRetryAfter(after)
 }
 
 // await gives the configuration. A process that has just started has it within some
@@ -303,8 +303,8 @@
 		return table
 	}
 	left := r.began.Add(startTime).Sub(r.deps.Now())
-	if j.ask.Limit > 0 {
-		left = min(left, j.ask.Limit/startShare)
+	if j.ask.Timeout > 0 {
+		left = min(left, j.ask.Timeout/startShare)
 	}
 	t := time.NewTimer(max(0, left))
 	defer t.Stop()
@@ -324,7 +324,7 @@
 	}
 	j.route = route
 	if table.Guarded() && !route.Anonymous {
-		if j.team, ok = table.Team(j.ask.Key); !ok {
+		if j.team, ok = table.Team(j.ask.APIKey); !ok {
 			return refuser.New(http.StatusUnauthorized, "no_key", "the key is not known")
 		}
 	}
@@ -333,9 +333,9 @@
 		j.service, ok = table.Service(name)
 	}
 	if !ok {
-		return refuser.New(http.StatusServiceUnavailable, "no_service", "the route leads to no service").Back(comeBack)
+		return refuser.New(http.StatusServiceUnavailable, "no_service", "the route leads to no service").WithRetryAfter(comeBack)
 	}
-	j.lastEvent = j.ask.LastEvent
+	j.lastEvent = j.ask.LastEventID
 	return nil
 }
 
@@ -347,7 +347,7 @@
 	}
 	e := j.service.Engine
 	pass := placer.Pass(e, e.Slots, e.Memory/usualShare)
-	answer := pass * float64(j.ask.Output) / float64(max(1, e.Stride))
+	answer := pass * float64(j.ask.MaxOutputTokens) / float64(max(1, e.Stride))
 	return j.route.Objective + time.Duration(answer*float64(time.Millisecond))
 }
 
--- a/entry/request/relayer/stream.go
+++ b/entry/request/relayer/stream.go
@@ -124,7 +124,7 @@
 		if err := control.Flush(); err != nil {
 			return &callerError{err}
 		}
-		if id := r.deps.Dialect.Event(event); id != "" {
+		if id := r.deps.Protocol.EventID(event); id != "" {
 			j.lastEvent = id
 		}
 	}
--- a/entry/request/relayer/watch.go
+++ b/entry/request/relayer/watch.go
@@ -27,10 +27,10 @@
 	w.timer = time.AfterFunc(first, func() {
 		// A VM that is about to stop finds no other place that ends in time, and an
 		// answer that was only slow would be cut for nothing.
-		if leaving, left := r.deps.Leaving(); leaving && left < r.lasts(j) {
+		if leaving, left := r.deps.ShuttingDown(); leaving && left < r.lasts(j) {
 			return
 		}
-		if r.deps.Budget.Take(service) {
+		if r.deps.RetryBudget.TakeRetry(service) {
 			r.deps.Meter.Count("repeats", 1)
 			w.granted.Store(true)
 			end()
--- a/entry/request/relayer/whole.go
+++ b/entry/request/relayer/whole.go
@@ -111,7 +111,7 @@
 // head sets the headers of an answer.
 func (r *Relayer) head(w http.ResponseWriter, j *job, from http.Header) {
 	h := w.Header()
-	for name, values := range trimmer.Onward(from) {
+	for name, values := range trimmer.EndToEndHeaders(from) {
 		h[name] = values
 	}
 	if h.Get("Date") == "" {
@@ -149,8 +149,8 @@
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(refuser.RanHeader, string(f.Ran))
-	if f.After > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(f.After.Seconds(), 'f', -1, 64))
+	if f.RetryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', -1, 64))
 	}
 	if j.trace.cause == "" {
 		j.trace.cause = f.Code
@@ -180,7 +180,7 @@
 		line.Stringer("fingerprint", j.fingerprint)
 	}
 	if j.service != nil {
-		line.Str("service", j.service.Name).Int("prompt", j.ask.Prompt).Int("output", j.ask.Output)
+		line.Str("service", j.service.Name).Int("prompt", j.ask.PromptTokens).Int("output", j.ask.MaxOutputTokens)
 	}
 	if t.upstream != "" {
 		line.Str("upstream", t.upstream).Strs("helpers", t.helpers).Int("memory", t.memory).
--- a/entry/request/trimmer/trimmer.go
+++ b/entry/request/trimmer/trimmer.go
@@ -10,8 +10,8 @@
 // hop are the headers that belong to one connection, by RFC 9110, section 7.6.1.
 var hop = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// Onward are the headers that go on to the other side.
-func Onward(h http.Header) http.Header {
+// EndToEndHeaders are the headers that go on to the other side.
+func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
