--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -272,7 +272,7 @@
 		r.gone = true
 		return
 	}
-	r.asked = p.vms[r.vm].allocator.Ask(scheduler.Call{Service: p.service, Ask: placer.Ask{
+	r.asked = p.vms[r.vm].allocator.Ask(scheduler.Request{Service: p.service, Requirements: placer.Ask{
 		Prompt: r.prompt, Output: k.Bound, Pause: float64(k.Pause.Milliseconds()), Arrived: at(r.at),
 		Objective: at(r.at).Add(k.Objective), Deadline: at(r.at).Add(k.Limit), Leaves: at(r.leaves()),
 	}})
--- a/entry/process/allocator/allocator.go
+++ b/entry/process/allocator/allocator.go
@@ -153,7 +153,7 @@
 func (a *Allocator) wake(now time.Time) {
 	busy := len(a.asks) > 0
 	for _, l := range a.led {
-		busy = busy || l.scheduler.Waiting() > 0
+		busy = busy || l.scheduler.QueueLength() > 0
 	}
 	switch {
 	case busy && a.rest == nil:
@@ -267,7 +267,7 @@
 
 func (a *Allocator) pump() {
 	for _, l := range a.led {
-		l.scheduler.Pump()
+		l.scheduler.Dispatch()
 	}
 }
 
@@ -300,9 +300,9 @@
 		a.leaving, a.stop = true, stop
 		a.hand(now)
 		for _, o := range a.asks {
-			o.call.Stop = stop
+			o.call.StopsAt = stop
 			if o.local != nil {
-				o.local.Stop(stop)
+				o.local.SetStop(stop)
 				continue
 			}
 			a.send(now, o)
@@ -345,7 +345,7 @@
 	defer a.mu.Unlock()
 	all := make(map[string]placer.Load)
 	for _, l := range a.led {
-		for id, w := range l.scheduler.Work() {
+		for id, w := range l.scheduler.Loads() {
 			sum := all[id]
 			sum.Add(w)
 			all[id] = sum
@@ -396,13 +396,13 @@
 		l = &led{group: g}
 		l.scheduler = scheduler.New(g.Zone, scheduler.Deps{
 			Tracker: a.deps.Tracker, Now: a.deps.Now,
-			ColdPart: func(upstream string, rate float64) int {
+			ColdQuota: func(upstream string, rate float64) int {
 				if a.deps.Now().Before(l.coldFrom) {
 					return 0
 				}
 				return a.deps.ColdPart(upstream, rate, !l.alone)
 			},
-			LimitPart: func(rate float64) float64 { return a.limitPart(l, rate) },
+			RateQuota: func(rate float64) float64 { return a.limitPart(l, rate) },
 		})
 		a.led[g] = l
 	}
--- a/entry/process/allocator/allocator_test.go
+++ b/entry/process/allocator/allocator_test.go
@@ -162,7 +162,7 @@
 	n.vms[1].Leave(n.now.Add(150 * time.Millisecond))
 	n.run(150 * time.Millisecond)
 	_, refusal := waits.Reply()
-	assert.Assert(t, refusal != nil && refusal.Code == scheduler.Late, "%v", refusal)
+	assert.Assert(t, refusal != nil && refusal.Code == scheduler.CodeLate, "%v", refusal)
 }
 
 // A VM dies with requests under way. Counted on, they would keep engines idle.
--- a/entry/process/allocator/answer.go
+++ b/entry/process/allocator/answer.go
@@ -18,8 +18,8 @@
 		w := &m.Refusals[i]
 		if o := a.asked(from, w.ID); o != nil {
 			delete(a.asks, o.id)
-			refusal := &scheduler.Refusal{Code: w.Code, After: time.Duration(w.After) * time.Millisecond, Waits: waitsOf(w.Waits)}
-			refusal.Waits.Add(now.Sub(o.since))
+			refusal := &scheduler.Refusal{Code: w.Code, RetryAfter: time.Duration(w.After) * time.Millisecond, WaitTimes: waitsOf(w.Waits)}
+			refusal.WaitTimes.AddRemainder(now.Sub(o.since))
 			o.answer <- answer{refusal: refusal}
 		}
 	}
@@ -89,16 +89,16 @@
 	p := &Place{
 		Upstream: a.upstream(w.Main), Estimate: float64(w.Estimate), Leader: vm, Waits: waitsOf(w.Waits), from: from,
 		Load: placer.Load{Streams: w.Streams, Context: w.Context, Unread: float64(w.Unread)},
-		work: scheduler.Work{
-			Prompt: o.call.Ask.Prompt, Output: o.call.Ask.Output, Pause: o.call.Ask.Pause, Read: float64(w.Read), Long: w.Long, Main: w.Main.ID,
+		work: scheduler.Workload{
+			Prompt: o.call.Requirements.Prompt, Output: o.call.Requirements.Output, MaxPause: o.call.Requirements.Pause, Prefill: float64(w.Read), Long: w.Long, Main: w.Main.ID,
 		},
 	}
-	p.Waits.Add(now.Sub(o.since))
-	a.usual.note(p.Load, o.call.Ask)
+	p.Waits.AddRemainder(now.Sub(o.since))
+	a.usual.note(p.Load, o.call.Requirements)
 	for _, h := range w.Helpers {
-		p.Helpers = append(p.Helpers, scheduler.Helper{Upstream: a.upstream(h), Tokens: h.Tokens})
+		p.Helpers = append(p.Helpers, scheduler.Helper{Upstream: a.upstream(h), ReservedTokens: h.Tokens})
 		p.work.Helpers = append(p.work.Helpers, h.ID)
-		p.work.Tokens = append(p.work.Tokens, h.Tokens)
+		p.work.ReservedTokens = append(p.work.ReservedTokens, h.Tokens)
 	}
 	a.give(now, o, p)
 }
--- a/entry/process/allocator/asker.go
+++ b/entry/process/allocator/asker.go
@@ -41,14 +41,14 @@
 // An ask is a request of this VM that waits for a place.
 type ask struct {
 	id    uint64
-	call  scheduler.Call
+	call  scheduler.Request
 	group Group
 	// hops is how often it was sent to another group, silent how many leaders
 	// have not answered it.
 	hops, silent int
 	// to is the leader that it was sent to; local is set where that is this VM.
 	to    netip.AddrPort
-	local *scheduler.Asked
+	local *scheduler.Pending
 	since time.Time
 	// first and sent are when it was sent to this leader, first and last, heard
 	// when that has last said that it waits there.
@@ -62,7 +62,7 @@
 }
 
 // Acquire waits for a place, or for the word that there will be none in time.
-func (a *Allocator) Acquire(ctx context.Context, c scheduler.Call) (*Place, *scheduler.Refusal) {
+func (a *Allocator) Acquire(ctx context.Context, c scheduler.Request) (*Place, *scheduler.Refusal) {
 	o := a.Ask(c)
 	select {
 	case r := <-o.ask.answer:
@@ -79,13 +79,13 @@
 }
 
 // Ask asks for a place without waiting for it.
-func (a *Allocator) Ask(c scheduler.Call) *Asked {
+func (a *Allocator) Ask(c scheduler.Request) *Asked {
 	o := &ask{call: c, answer: make(chan answer, 1)}
 	a.do(func(now time.Time) {
 		a.last++
 		o.id, o.since = a.last, now
-		o.call.Zone, o.call.Stop = a.me.Zone, a.stop
-		o.call.Avoid = a.deps.Tracker.Silent(now)
+		o.call.Zone, o.call.StopsAt = a.me.Zone, a.stop
+		o.call.Unreachable = a.deps.Tracker.Silent(now)
 		o.group = a.choose(c.Service.Name, a.me.Zone)
 		a.asks[o.id] = o
 		a.send(now, o)
@@ -106,11 +106,11 @@
 // Leave takes the request back: its caller has gone, or its time is over.
 func (o *Asked) Leave() *scheduler.Refusal {
 	a := o.allocator
-	refusal := &scheduler.Refusal{Code: scheduler.Late, After: comeBack}
+	refusal := &scheduler.Refusal{Code: scheduler.CodeLate, RetryAfter: comeBack}
 	a.do(func(now time.Time) {
 		if _, ok := a.asks[o.ask.id]; ok {
-			refusal.Waits = a.withdraw(o.ask)
-			refusal.Waits.Add(now.Sub(o.ask.since))
+			refusal.WaitTimes = a.withdraw(o.ask)
+			refusal.WaitTimes.AddRemainder(now.Sub(o.ask.since))
 			delete(a.asks, o.ask.id)
 		}
 	})
@@ -163,7 +163,7 @@
 }
 
 func (o *ask) mostSilent() int {
-	if e := o.call.Service.Engine; e != nil && !placer.Short(e, o.call.Ask.Prompt) {
+	if e := o.call.Service.Engine; e != nil && !placer.Short(e, o.call.Requirements.Prompt) {
 		return mostSilentLong
 	}
 	return mostSilent
@@ -174,14 +174,14 @@
 	l := a.lead(now, o.group, false)
 	l.alone = !a.ranksHigh(o.group)
 	o.to, o.first = netip.AddrPort{}, now
-	asked := l.scheduler.Ask(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
+	asked := l.scheduler.Submit(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
 		if _, ok := a.asks[o.id]; !ok {
 			if g != nil {
-				g.Done()
+				g.Release()
 			}
 			return
 		}
-		if r != nil && r.Code == scheduler.None {
+		if r != nil && r.Code == scheduler.CodeNoUpstream {
 			if zone, ok := a.better(now, l, o.call, o.hops); ok {
 				a.divert(a.deps.Now(), o, zone)
 				return
@@ -193,8 +193,8 @@
 			return
 		}
 		a.give(now, o, &Place{
-			Upstream: g.Upstream.Upstream, Helpers: g.Helpers, Estimate: g.Estimate, Load: g.Load, Waits: g.Waits,
-			work: g.Work, grant: g,
+			Upstream: g.Upstream.Upstream, Helpers: g.Helpers, Estimate: g.Estimate, Load: g.Load, Waits: g.WaitTimes,
+			work: g.Workload, grant: g,
 		})
 	})
 	if _, waits := a.asks[o.id]; !waits || o.to.IsValid() || o.local != nil {
@@ -235,9 +235,9 @@
 }
 
 // withdraw takes a request back from whoever was asked.
-func (a *Allocator) withdraw(o *ask) (w scheduler.Waits) {
+func (a *Allocator) withdraw(o *ask) (w scheduler.WaitTimes) {
 	if o.local != nil {
-		w = o.local.Leave()
+		w = o.local.Cancel()
 		o.local = nil
 		return w
 	}
--- a/entry/process/allocator/leader.go
+++ b/entry/process/allocator/leader.go
@@ -53,7 +53,7 @@
 	for i := range members {
 		l.awaited[members[i].Address] = true
 	}
-	l.scheduler.Hold(now.Add(learning))
+	l.scheduler.PauseUntil(now.Add(learning))
 }
 
 // collected notes a VM's word. With the last one places are given again.
@@ -63,8 +63,8 @@
 	}
 	delete(l.awaited, from)
 	if len(l.awaited) == 0 {
-		l.scheduler.Hold(now)
-		l.scheduler.Pump()
+		l.scheduler.PauseUntil(now)
+		l.scheduler.Dispatch()
 	}
 }
 
@@ -83,9 +83,9 @@
 // A remote is another VM's request that waits here.
 type remote struct {
 	led   *led
-	call  scheduler.Call
+	call  scheduler.Request
 	hops  int
-	asked *scheduler.Asked
+	asked *scheduler.Pending
 	heard time.Time
 	done  bool
 }
@@ -132,7 +132,7 @@
 			out.Collect = append(out.Collect, g.wire())
 		}
 	}
-	l.scheduler.Assume(a.unknownLoad(now, l))
+	l.scheduler.AssumeLoad(a.unknownLoad(now, l))
 	return l
 }
 
@@ -201,7 +201,7 @@
 	holds := h.holds
 	h.holds = make(map[uint64]*held)
 	for _, p := range holds {
-		p.grant.Done()
+		p.grant.Release()
 	}
 }
 
@@ -209,7 +209,7 @@
 func (a *Allocator) drop(h *holder, id uint64, o *remote) {
 	delete(h.asks, id)
 	o.done = true
-	o.asked.Leave()
+	o.asked.Cancel()
 }
 
 // heed takes in what a VM says that asks.
@@ -229,15 +229,15 @@
 	}
 	for _, id := range m.Began {
 		if p, ok := h.holds[id]; ok {
-			p.grant.Began()
-			a.deps.Tracker.Learn(now, tracker.Event{Finding: tracker.FoundAnswering, Upstreams: []string{p.grant.Work.Main}})
+			p.grant.MarkStarted()
+			a.deps.Tracker.Learn(now, tracker.Event{Finding: tracker.FoundAnswering, Upstreams: []string{p.grant.Workload.Main}})
 		}
 	}
 	for _, id := range m.Ended {
 		h.ended[id] = now
 		if p, ok := h.holds[id]; ok {
 			delete(h.holds, id)
-			p.grant.Done()
+			p.grant.Release()
 		}
 	}
 	for i := range m.Places {
@@ -291,7 +291,7 @@
 		if !has[id] && now.Sub(p.at) > underWay {
 			delete(h.holds, id)
 			a.count("places.repaired")
-			p.grant.Done()
+			p.grant.Release()
 		}
 	}
 }
@@ -302,7 +302,7 @@
 		// It was sent again.
 		o.heard = now
 		if stop := moment(now, w.Stop); !stop.IsZero() {
-			o.asked.Stop(stop)
+			o.asked.SetStop(stop)
 		}
 		if !o.done {
 			out := a.to(from)
@@ -340,7 +340,7 @@
 	o := &remote{led: l, call: w.call(now), hops: w.Hops, heard: now}
 	o.call.Service = service
 	h.asks[w.ID] = o
-	o.asked = l.scheduler.Ask(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
+	o.asked = l.scheduler.Submit(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
 		a.reply(from, h, w.ID, o, g, r)
 	})
 	if o.done {
@@ -359,7 +359,7 @@
 func (a *Allocator) reply(from netip.AddrPort, h *holder, id uint64, o *remote, g *scheduler.Grant, r *scheduler.Refusal) {
 	if o.done {
 		if g != nil {
-			g.Done()
+			g.Release()
 		}
 		return
 	}
@@ -368,25 +368,25 @@
 	now := a.deps.Now()
 	out := a.to(from)
 	if r != nil {
-		if r.Code == scheduler.None {
+		if r.Code == scheduler.CodeNoUpstream {
 			if zone, ok := a.better(now, o.led, o.call, o.hops); ok {
 				out.Elsewhere = append(out.Elsewhere, wireElsewhere{ID: id, Zone: zone})
 				return
 			}
 		}
-		out.Refusals = append(out.Refusals, wireRefusal{ID: id, Code: r.Code, After: r.After.Milliseconds(), Waits: wireWaits(r.Waits)})
+		out.Refusals = append(out.Refusals, wireRefusal{ID: id, Code: r.Code, After: r.RetryAfter.Milliseconds(), Waits: wireWaits(r.WaitTimes)})
 		return
 	}
 	w := wireGrant{
 		ID: id, Main: wireUpstream{ID: g.Upstream.ID, Address: g.Upstream.Address},
-		Read: float32(g.Work.Read), Estimate: float32(g.Estimate), Long: g.Work.Long,
-		Streams: g.Load.Streams, Context: g.Load.Context, Unread: float32(g.Load.Unread), Waits: wireWaits(g.Waits),
+		Read: float32(g.Workload.Prefill), Estimate: float32(g.Estimate), Long: g.Workload.Long,
+		Streams: g.Load.Streams, Context: g.Load.Context, Unread: float32(g.Load.Unread), Waits: wireWaits(g.WaitTimes),
 	}
 	for _, p := range g.Helpers {
-		w.Helpers = append(w.Helpers, wireUpstream{ID: p.ID, Address: p.Address, Tokens: p.Tokens})
+		w.Helpers = append(w.Helpers, wireUpstream{ID: p.ID, Address: p.Address, Tokens: p.ReservedTokens})
 	}
 	h.holds[id] = &held{grant: g, at: now, answer: &w}
-	a.usual.note(g.Load, o.call.Ask)
+	a.usual.note(g.Load, o.call.Requirements)
 	out.Grants = append(out.Grants, w)
 	if l := g.Upstream.Limit; l.Limited {
 		// Else the VM would not notice that the answer names no limit any more.
--- a/entry/process/allocator/limit.go
+++ b/entry/process/allocator/limit.go
@@ -23,7 +23,7 @@
 func (a *Allocator) limitPart(l *led, named float64) float64 {
 	heard := 1 + len(a.deps.Members())
 	all := max(heard, a.deps.Fleet())
-	rate := budgeter.Limit(named) * min(1, sideShare*float64(heard)/float64(all))
+	rate := budgeter.EffectiveRate(named) * min(1, sideShare*float64(heard)/float64(all))
 	switch {
 	case l.alone:
 		return rate * besideShare / float64(heard)
--- a/entry/process/allocator/limit_test.go
+++ b/entry/process/allocator/limit_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func (l *limited) call() scheduler.Call {
+func (l *limited) call() scheduler.Request {
 	c := l.n.call()
 	c.Service = &matcher.Service{Name: "s", Engine: roomy}
 	return c
--- a/entry/process/allocator/message.go
+++ b/entry/process/allocator/message.go
@@ -108,17 +108,17 @@
 func (o *ask) wire(now time.Time) wireAsk {
 	c := &o.call
 	return wireAsk{
-		ID: o.id, Group: o.group.wire(), Hops: o.hops, Prompt: c.Ask.Prompt, Output: c.Ask.Output, Pause: float32(c.Ask.Pause),
-		Arrived: until(now, c.Ask.Arrived), Objective: until(now, c.Ask.Objective), Deadline: until(now, c.Ask.Deadline),
-		Leaves: until(now, c.Ask.Leaves), Stop: until(now, c.Stop),
-		Priority: c.Priority, Team: c.Team, Zone: c.Zone, Tried: c.Ask.Tried, Avoid: c.Avoid,
+		ID: o.id, Group: o.group.wire(), Hops: o.hops, Prompt: c.Requirements.Prompt, Output: c.Requirements.Output, Pause: float32(c.Requirements.Pause),
+		Arrived: until(now, c.Requirements.Arrived), Objective: until(now, c.Requirements.Objective), Deadline: until(now, c.Requirements.Deadline),
+		Leaves: until(now, c.Requirements.Leaves), Stop: until(now, c.StopsAt),
+		Priority: c.Priority, Team: c.Team, Zone: c.Zone, Tried: c.Requirements.Tried, Avoid: c.Unreachable,
 	}
 }
 
-func (w *wireAsk) call(now time.Time) scheduler.Call {
-	return scheduler.Call{
-		Priority: w.Priority, Team: w.Team, Zone: w.Zone, Avoid: w.Avoid, Stop: moment(now, w.Stop),
-		Ask: placer.Ask{
+func (w *wireAsk) call(now time.Time) scheduler.Request {
+	return scheduler.Request{
+		Priority: w.Priority, Team: w.Team, Zone: w.Zone, Unreachable: w.Avoid, StopsAt: moment(now, w.Stop),
+		Requirements: placer.Ask{
 			Prompt: w.Prompt, Output: w.Output, Pause: float64(w.Pause), Arrived: moment(now, w.Arrived), Objective: moment(now, w.Objective),
 			Deadline: moment(now, w.Deadline), Leaves: moment(now, w.Leaves), Tried: w.Tried,
 		},
@@ -175,15 +175,15 @@
 func (p *Place) wire() wirePlace {
 	w := &p.work
 	return wirePlace{
-		ID: p.id, Group: p.group.wire(), Prompt: w.Prompt, Output: w.Output, Pause: float32(w.Pause), Read: float32(w.Read),
-		Long: w.Long, Began: p.began, Main: w.Main, Helpers: w.Helpers, Tokens: w.Tokens,
+		ID: p.id, Group: p.group.wire(), Prompt: w.Prompt, Output: w.Output, Pause: float32(w.MaxPause), Read: float32(w.Prefill),
+		Long: w.Long, Began: p.began, Main: w.Main, Helpers: w.Helpers, Tokens: w.ReservedTokens,
 	}
 }
 
-func (w *wirePlace) work() scheduler.Work {
-	return scheduler.Work{
-		Prompt: w.Prompt, Output: w.Output, Pause: float64(w.Pause), Read: float64(w.Read), Long: w.Long,
-		Main: w.Main, Helpers: w.Helpers, Tokens: w.Tokens,
+func (w *wirePlace) work() scheduler.Workload {
+	return scheduler.Workload{
+		Prompt: w.Prompt, Output: w.Output, MaxPause: float64(w.Pause), Prefill: float64(w.Read), Long: w.Long,
+		Main: w.Main, Helpers: w.Helpers, ReservedTokens: w.Tokens,
 	}
 }
 
@@ -229,7 +229,7 @@
 }
 
 // wireWaits are waits in milliseconds, by reason.
-func wireWaits(w scheduler.Waits) []uint32 {
+func wireWaits(w scheduler.WaitTimes) []uint32 {
 	out := make([]uint32, 0, len(w))
 	last := 0
 	for i, d := range w {
@@ -241,7 +241,7 @@
 	return out[:last]
 }
 
-func waitsOf(wire []uint32) (w scheduler.Waits) {
+func waitsOf(wire []uint32) (w scheduler.WaitTimes) {
 	for i := range min(len(wire), len(w)) {
 		w[i] = time.Duration(wire[i]) * time.Millisecond
 	}
--- a/entry/process/allocator/network_test.go
+++ b/entry/process/allocator/network_test.go
@@ -176,8 +176,8 @@
 	v.late = nil
 }
 
-func (n *network) call() scheduler.Call {
-	return scheduler.Call{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Ask: placer.Ask{
+func (n *network) call() scheduler.Request {
+	return scheduler.Request{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Requirements: placer.Ask{
 		Prompt: 1000, Output: 40, Pause: 250, Arrived: n.now, Objective: n.now.Add(time.Second), Deadline: n.now.Add(10 * time.Second),
 	}}
 }
--- a/entry/process/allocator/overflow.go
+++ b/entry/process/allocator/overflow.go
@@ -66,7 +66,7 @@
 
 func (a *Allocator) summary(now time.Time, l *led) summary {
 	sum := summary{at: now}
-	work := l.scheduler.Work()
+	work := l.scheduler.Loads()
 	for _, u := range a.deps.Tracker.Usable(now, l.group.Service) {
 		if u.Zone != l.group.Zone || now.Before(u.SilentUntil) {
 			continue
@@ -75,7 +75,7 @@
 		sum.free += max(0, u.Slots-work[u.ID].Streams)
 		sum.reading += work[u.ID].Unread
 	}
-	sum.reading += l.scheduler.Reading()
+	sum.reading += l.scheduler.QueuedPrefill()
 	if sum.engines > 0 {
 		sum.reading /= float64(sum.engines)
 	}
@@ -85,14 +85,14 @@
 // better is the zone of a group with room for a request that has none in this
 // one. What is sent there counts at once, so that not all that wait follow one
 // summary.
-func (a *Allocator) better(now time.Time, l *led, c scheduler.Call, hops int) (zone string, ok bool) {
+func (a *Allocator) better(now time.Time, l *led, c scheduler.Request, hops int) (zone string, ok bool) {
 	g := l.group
 	if g.Zone == "" || hops >= mostHops {
 		return "", false
 	}
 	here := a.summary(now, l)
 	e := c.Service.Engine
-	long := e != nil && !placer.Short(e, c.Ask.Prompt)
+	long := e != nil && !placer.Short(e, c.Requirements.Prompt)
 	var best *summary
 	for other, s := range a.summaries {
 		if other.Service != g.Service || other.Zone == g.Zone || now.Sub(s.at) > freshSummary || s.engines == 0 {
@@ -110,7 +110,7 @@
 	}
 	best.free--
 	if e != nil {
-		best.reading += placer.Read(e, c.Ask.Prompt, 1) / float64(best.engines)
+		best.reading += placer.Read(e, c.Requirements.Prompt, 1) / float64(best.engines)
 	}
 	a.count("asks.elsewhere")
 	return zone, true
@@ -153,7 +153,7 @@
 
 // slotsOf is how many slots an upstream of a request's service has; one where the
 // configuration does not say.
-func slotsOf(c scheduler.Call) int {
+func slotsOf(c scheduler.Request) int {
 	if c.Service.Engine != nil {
 		return max(1, c.Service.Engine.Slots)
 	}
--- a/entry/process/allocator/place.go
+++ b/entry/process/allocator/place.go
@@ -19,7 +19,7 @@
 	Estimate float64
 	Load     placer.Load
 	// Waits is how long it was waited for, and why.
-	Waits scheduler.Waits
+	Waits scheduler.WaitTimes
 	// Leader is who gave it; empty where this VM did.
 	Leader string
 
@@ -27,7 +27,7 @@
 	allocator *Allocator
 	id        uint64
 	group     Group
-	work      scheduler.Work
+	work      scheduler.Workload
 	began     bool
 	ended     bool
 	// grant is what this VM's own scheduler counts of it.
@@ -42,7 +42,7 @@
 		}
 		p.began = true
 		if p.grant != nil {
-			p.grant.Began()
+			p.grant.MarkStarted()
 		}
 		p.report(now, func(m *message) { m.Began = append(m.Began, p.id) })
 	})
@@ -57,7 +57,7 @@
 		p.ended = true
 		delete(p.allocator.places, p.id)
 		if p.grant != nil {
-			p.grant.Done()
+			p.grant.Release()
 		}
 		p.report(now, func(m *message) { m.Ended = append(m.Ended, p.id) })
 	})
--- a/entry/process/budgeter/budgeter.go
+++ b/entry/process/budgeter/budgeter.go
@@ -22,9 +22,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part is how many of a bound's whole units one of the VMs may use. The VMs are
+// Quota is how many of a bound's whole units one of the VMs may use. The VMs are
 // named in the same order on each of them.
-func Part(bound float64, matter, vm string, vms []string) int {
+func Quota(bound float64, matter, vm string, vms []string) int {
 	n := max(1, len(vms))
 	each := int(bound) / n
 	// What division leaves goes to the VMs that rank first for this matter.
@@ -81,8 +81,8 @@
 	w.times = append(w.times, now)
 }
 
-// A History keeps which VMs lived over a span.
-type History struct {
+// A MemberHistory keeps which VMs lived over a span.
+type MemberHistory struct {
 	span time.Duration
 	// began is when this VM began; zero where no VM was there before.
 	began time.Time
@@ -98,14 +98,14 @@
 // others: these hear of it a moment later.
 const rejoin = 2 * time.Second
 
-// NewHistory returns a History of a VM that has begun at a time, zero where no VM was
+// NewMemberHistory returns a History of a VM that has begun at a time, zero where no VM was
 // there before.
-func NewHistory(span time.Duration, began time.Time) *History {
-	return &History{span: span, began: began}
+func NewMemberHistory(span time.Duration, began time.Time) *MemberHistory {
+	return &MemberHistory{span: span, began: began}
 }
 
-// Note notes which VMs live, in order. It is called whenever that may have changed.
-func (h *History) Note(now time.Time, vms []string) {
+// Record notes which VMs live, in order. It is called whenever that may have changed.
+func (h *MemberHistory) Record(now time.Time, vms []string) {
 	if len(h.lists) == 0 || !slices.Equal(h.lists[len(h.lists)-1].vms, vms) {
 		h.lists = append(h.lists, list{now, vms})
 	}
@@ -114,11 +114,11 @@
 	}
 }
 
-// Part is how many of a bound's whole units a VM may use, where these count over the
+// Quota is how many of a bound's whole units a VM may use, where these count over the
 // span: the least of its parts in that time. A part that grows as others end was
 // theirs until then, and a VM that has just begun has none: it does not know what it
 // used before, and what the others had while it was away may be used up.
-func (h *History) Part(now time.Time, bound float64, matter, vm string) int {
+func (h *MemberHistory) Quota(now time.Time, bound float64, matter, vm string) int {
 	if len(h.lists) == 0 || (!h.began.IsZero() && now.Sub(h.began) < h.span+rejoin) {
 		return 0
 	}
@@ -127,13 +127,13 @@
 		if i+1 < len(h.lists) && now.Sub(h.lists[i+1].since) >= h.span {
 			continue
 		}
-		least = min(least, Part(bound, matter, vm, l.vms))
+		least = min(least, Quota(bound, matter, vm, l.vms))
 	}
 	return least
 }
 
-// Repeats bounds the requests of one service that are sent once more.
-type Repeats struct {
+// RetryBudget bounds the requests of one service that are sent once more.
+type RetryBudget struct {
 	// Ratio is how many repeats each request adds, Slack how many all VMs
 	// together have besides, in each span.
 	Ratio, Slack float64
@@ -141,17 +141,17 @@
 	again        *Window
 }
 
-// NewRepeats returns a bound over sliding spans.
-func NewRepeats(ratio, slack float64, span time.Duration) *Repeats {
-	return &Repeats{Ratio: ratio, Slack: slack, firsts: NewWindow(span), again: NewWindow(span)}
+// NewRetryBudget returns a bound over sliding spans.
+func NewRetryBudget(ratio, slack float64, span time.Duration) *RetryBudget {
+	return &RetryBudget{Ratio: ratio, Slack: slack, firsts: NewWindow(span), again: NewWindow(span)}
 }
 
 // Sent counts a request's first sending.
-func (r *Repeats) Sent(now time.Time) { r.firsts.Add(now) }
+func (r *RetryBudget) Sent(now time.Time) { r.firsts.Add(now) }
 
-// Take asks for one repeat, and counts it where it is granted.
-func (r *Repeats) Take(now time.Time, vm string, h *History) bool {
-	bound := r.Ratio*float64(r.firsts.Count(now)) + float64(h.Part(now, r.Slack, "repeats", vm))
+// TryRetry asks for one repeat, and counts it where it is granted.
+func (r *RetryBudget) TryRetry(now time.Time, vm string, h *MemberHistory) bool {
+	bound := r.Ratio*float64(r.firsts.Count(now)) + float64(h.Quota(now, r.Slack, "repeats", vm))
 	if float64(r.again.Count(now)+1) > bound {
 		return false
 	}
@@ -165,20 +165,20 @@
 // when the first of them is delayed on its way.
 const coldSpan = 1200 * time.Millisecond
 
-// Cold bounds the requests sent to one upstream in cold start.
-type Cold struct {
+// ColdLimiter bounds the requests sent to one upstream in cold start.
+type ColdLimiter struct {
 	sent *Window
 }
 
-// NewCold returns a bound for one upstream.
-func NewCold() *Cold { return &Cold{sent: NewWindow(coldSpan)} }
+// NewColdLimiter returns a bound for one upstream.
+func NewColdLimiter() *ColdLimiter { return &ColdLimiter{sent: NewWindow(coldSpan)} }
 
-// Room is how many requests may be sent now of so many a second.
-func (c *Cold) Room(now time.Time, part int) int { return max(0, part-c.sent.Count(now)) }
+// Available is how many requests may be sent now of so many a second.
+func (c *ColdLimiter) Available(now time.Time, part int) int { return max(0, part-c.sent.Count(now)) }
 
 // Sent counts a request. It is counted for upstreams that are not cold as well,
 // because one may turn out to have been cold already.
-func (c *Cold) Sent(now time.Time) { c.sent.Add(now) }
+func (c *ColdLimiter) Sent(now time.Time) { c.sent.Add(now) }
 
 // leastRate is the rate a second to which a limit is raised: without a request now
 // and then nobody would hear that an upstream takes more again.
@@ -188,19 +188,19 @@
 // least.
 const burst = 250 * time.Millisecond
 
-// A Rate spreads the requests to an upstream that has named a limit. What is left of
+// A RateLimiter spreads the requests to an upstream that has named a limit. What is left of
 // an earlier time is not made up for: the upstream is in need.
-type Rate struct {
+type RateLimiter struct {
 	tokens float64
 	at     time.Time
 }
 
-// NewRate returns a Rate that has saved up nothing: another VM may have sent until
+// NewRateLimiter returns a Rate that has saved up nothing: another VM may have sent until
 // now.
-func NewRate(now time.Time) *Rate { return &Rate{at: now} }
+func NewRateLimiter(now time.Time) *RateLimiter { return &RateLimiter{at: now} }
 
-// Room is how many requests may be sent now, of so many a second.
-func (r *Rate) Room(now time.Time, perSecond float64) int {
+// Available is how many requests may be sent now, of so many a second.
+func (r *RateLimiter) Available(now time.Time, perSecond float64) int {
 	r.tokens += perSecond * now.Sub(r.at).Seconds()
 	r.tokens = min(r.tokens, max(1, perSecond*burst.Seconds()))
 	r.at = now
@@ -208,29 +208,29 @@
 }
 
 // Sent counts a request.
-func (r *Rate) Sent() { r.tokens-- }
+func (r *RateLimiter) Sent() { r.tokens-- }
 
-// Limit is the rate to which the requests of all VMs to an upstream are held that has
+// EffectiveRate is the rate to which the requests of all VMs to an upstream are held that has
 // named one.
-func Limit(named float64) float64 { return max(named, leastRate) }
+func EffectiveRate(named float64) float64 { return max(named, leastRate) }
 
 // idleShare is the part of the connections that an upstream accepts from all VMs that
 // may be idle. The others are for requests: what exceeds them is reset.
 const idleShare = 0.5
 
-// Idle is how many idle connections a VM may keep to an upstream that accepts so many
+// IdleConnections is how many idle connections a VM may keep to an upstream that accepts so many
 // from all, where it keeps no more than the usual number anyway.
-func Idle(connections, usual int, upstream, vm string, vms []string) int {
+func IdleConnections(connections, usual int, upstream, vm string, vms []string) int {
 	bound := idleShare * float64(connections)
 	if bound >= float64(usual*len(vms)) {
 		return usual
 	}
-	return min(usual, Part(bound, "idle "+upstream, vm, vms))
+	return min(usual, Quota(bound, "idle "+upstream, vm, vms))
 }
 
-// Unknown are names for VMs that are assumed to live while a process has not
+// AssumedVMs are names for VMs that are assumed to live while a process has not
 // yet heard of the others: n in all, this one included.
-func Unknown(vm string, n int) []string {
+func AssumedVMs(vm string, n int) []string {
 	vms := []string{vm}
 	for i := 1; i < n; i++ {
 		vms = append(vms, "unknown-"+strconv.Itoa(i))
--- a/entry/process/budgeter/budgeter_test.go
+++ b/entry/process/budgeter/budgeter_test.go
@@ -30,7 +30,7 @@
 		matter := rapid.String().Draw(t, "matter")
 		sum := 0
 		for _, vm := range vms {
-			sum += budgeter.Part(bound, matter, vm, vms)
+			sum += budgeter.Quota(bound, matter, vm, vms)
 		}
 		if sum != int(bound) {
 			t.Fatalf("%d VMs have %d of %v", len(vms), sum, bound)
@@ -46,7 +46,7 @@
 	open := 0
 	for _, vm := range vms {
 		for i := range 30 {
-			if budgeter.Part(59, "cold u"+strconv.Itoa(i), vm, vms) > 0 {
+			if budgeter.Quota(59, "cold u"+strconv.Itoa(i), vm, vms) > 0 {
 				open++
 				break
 			}
@@ -61,16 +61,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		vms := names(rapid.IntRange(1, 12).Draw(t, "vms"))
 		bound := float64(rapid.IntRange(1, 60).Draw(t, "bound"))
-		colds := make([]*budgeter.Cold, len(vms))
+		colds := make([]*budgeter.ColdLimiter, len(vms))
 		for i := range colds {
-			colds[i] = budgeter.NewCold()
+			colds[i] = budgeter.NewColdLimiter()
 		}
 		now := start
 		var sent []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "pause")) * time.Millisecond)
 			i := rapid.IntRange(0, len(vms)-1).Draw(t, "vm")
-			if colds[i].Room(now, budgeter.Part(bound, "u", vms[i], vms)) > 0 {
+			if colds[i].Available(now, budgeter.Quota(bound, "u", vms[i], vms)) > 0 {
 				colds[i].Sent(now)
 				sent = append(sent, now)
 			}
@@ -95,20 +95,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		vms := names(rapid.IntRange(1, 9).Draw(t, "vms"))
 		slack := float64(rapid.IntRange(0, 40).Draw(t, "slack"))
-		budgets := make([]*budgeter.Repeats, len(vms))
+		budgets := make([]*budgeter.RetryBudget, len(vms))
 		for i := range budgets {
-			budgets[i] = budgeter.NewRepeats(0.2, slack, span)
+			budgets[i] = budgeter.NewRetryBudget(0.2, slack, span)
 		}
 		now := start
-		live := budgeter.NewHistory(span, time.Time{})
-		live.Note(now, vms)
+		live := budgeter.NewMemberHistory(span, time.Time{})
+		live.Record(now, vms)
 		var firsts, again []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond)
 			i := rapid.IntRange(0, len(vms)-1).Draw(t, "vm")
 			budgets[i].Sent(now)
 			firsts = append(firsts, now)
-			if budgets[i].Take(now, vms[i], live) {
+			if budgets[i].TryRetry(now, vms[i], live) {
 				again = append(again, now)
 			}
 		}
@@ -142,9 +142,9 @@
 		slack := float64(rapid.IntRange(0, 60).Draw(t, "slack"))
 		vms := names(rapid.IntRange(1, 9).Draw(t, "vms"))
 		now := start
-		budgets, live := map[string]*budgeter.Repeats{}, map[string]*budgeter.History{}
+		budgets, live := map[string]*budgeter.RetryBudget{}, map[string]*budgeter.MemberHistory{}
 		begin := func(vm string, began time.Time) {
-			budgets[vm], live[vm] = budgeter.NewRepeats(0.2, slack, span), budgeter.NewHistory(span, began)
+			budgets[vm], live[vm] = budgeter.NewRetryBudget(0.2, slack, span), budgeter.NewMemberHistory(span, began)
 		}
 		for _, vm := range vms {
 			begin(vm, time.Time{})
@@ -165,12 +165,12 @@
 			for range rapid.IntRange(0, 60).Draw(t, "requests") {
 				now = now.Add(time.Duration(rapid.IntRange(0, 150).Draw(t, "pause")) * time.Millisecond)
 				for _, vm := range vms {
-					live[vm].Note(now, vms)
+					live[vm].Record(now, vms)
 				}
 				vm := rapid.SampledFrom(vms).Draw(t, "vm")
 				budgets[vm].Sent(now)
 				firsts = append(firsts, now)
-				for budgets[vm].Take(now, vm, live[vm]) {
+				for budgets[vm].TryRetry(now, vm, live[vm]) {
 					again = append(again, now)
 				}
 			}
@@ -192,7 +192,7 @@
 		connections := rapid.IntRange(1, 1400).Draw(t, "connections")
 		sum := 0
 		for _, vm := range vms {
-			sum += budgeter.Idle(connections, 4, "u", vm, vms)
+			sum += budgeter.IdleConnections(connections, 4, "u", vm, vms)
 		}
 		if sum > (connections+1)/2 {
 			t.Fatalf("%d VMs keep %d of %d", len(vms), sum, connections)
--- a/entry/process/budgeter/rate_test.go
+++ b/entry/process/budgeter/rate_test.go
@@ -14,12 +14,12 @@
 func TestRateIsKeptInAnySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.25, 50).Draw(t, "rate")
-		r := budgeter.NewRate(start)
+		r := budgeter.NewRateLimiter(start)
 		now := start
 		var sent []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
-			if r.Room(now, rate) > 0 {
+			if r.Available(now, rate) > 0 {
 				r.Sent()
 				sent = append(sent, now)
 			}
@@ -43,10 +43,10 @@
 // An upstream that takes nothing must be asked now and then: nobody else would hear
 // that it takes requests again.
 func TestUpstreamThatTakesNothingIsAskedNowAndThen(t *testing.T) {
-	r := budgeter.NewRate(start)
+	r := budgeter.NewRateLimiter(start)
 	n := 0
 	for i := range 60 {
-		if r.Room(start.Add(time.Duration(i)*time.Second), budgeter.Limit(0)) > 0 {
+		if r.Available(start.Add(time.Duration(i)*time.Second), budgeter.EffectiveRate(0)) > 0 {
 			r.Sent()
 			n++
 		}
--- a/entry/process/joiner/budget.go
+++ b/entry/process/joiner/budget.go
@@ -11,8 +11,8 @@
 type budget struct {
 	process *Process
 	mu      sync.Mutex
-	repeats map[string]*budgeter.Repeats
-	history *budgeter.History
+	repeats map[string]*budgeter.RetryBudget
+	history *budgeter.MemberHistory
 }
 
 func newBudget(v *Process) *budget {
@@ -22,15 +22,15 @@
 		began = time.Time{}
 	}
 	return &budget{
-		process: v, repeats: make(map[string]*budgeter.Repeats), history: budgeter.NewHistory(s.Bounds.RetryWindow, began),
+		process: v, repeats: make(map[string]*budgeter.RetryBudget), history: budgeter.NewMemberHistory(s.Bounds.RetryWindow, began),
 	}
 }
 
-func (b *budget) of(service string) *budgeter.Repeats {
+func (b *budget) of(service string) *budgeter.RetryBudget {
 	bounds := b.process.settings.Load().Bounds
 	r, ok := b.repeats[service]
 	if !ok {
-		r = budgeter.NewRepeats(bounds.RetryRatio, bounds.RetrySlack, bounds.RetryWindow)
+		r = budgeter.NewRetryBudget(bounds.RetryRatio, bounds.RetrySlack, bounds.RetryWindow)
 		b.repeats[service] = r
 	}
 	r.Ratio, r.Slack = bounds.RetryRatio, bounds.RetrySlack
@@ -49,13 +49,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.history.Note(now, b.process.gossiper.VMs())
-	return b.of(service).Take(now, b.process.settings.Load().VM, b.history)
+	b.history.Record(now, b.process.gossiper.VMs())
+	return b.of(service).TryRetry(now, b.process.settings.Load().VM, b.history)
 }
 
 // note has the budget know which VMs live, also while it is not asked for.
 func (b *budget) note(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.history.Note(now, b.process.gossiper.VMs())
+	b.history.Record(now, b.process.gossiper.VMs())
 }
--- a/entry/process/joiner/fold.go
+++ b/entry/process/joiner/fold.go
@@ -315,7 +315,7 @@
 	if leads {
 		return int(part)
 	}
-	return budgeter.Part(part, "cold "+upstream, v.settings.Load().VM, v.gossiper.VMs())
+	return budgeter.Quota(part, "cold "+upstream, v.settings.Load().VM, v.gossiper.VMs())
 }
 
 // idlePart is how many idle connections this VM may keep to an upstream that accepts so
@@ -324,7 +324,7 @@
 	if connections <= 0 {
 		return 0
 	}
-	n := budgeter.Idle(connections, carrier.MostIdle, upstream, v.settings.Load().VM, v.gossiper.VMs())
+	n := budgeter.IdleConnections(connections, carrier.MostIdle, upstream, v.settings.Load().VM, v.gossiper.VMs())
 	if n == 0 {
 		return -1
 	}
--- a/entry/process/joiner/quarantine.go
+++ b/entry/process/joiner/quarantine.go
@@ -93,7 +93,7 @@
 // mayTry says that this VM may run a held request once: one of those that live, by a
 // hash, so that a trial costs one upstream.
 func (v *Process) mayTry(f quarantiner.Fingerprint) bool {
-	return budgeter.Part(1, "trial "+f.String(), v.me.VM, v.gossiper.VMs()) > 0
+	return budgeter.Quota(1, "trial "+f.String(), v.me.VM, v.gossiper.VMs()) > 0
 }
 
 func signal(c chan struct{}) {
--- a/entry/process/lender/evidence.go
+++ b/entry/process/lender/evidence.go
@@ -24,7 +24,7 @@
 // Returned says that operators have brought the upstream back into service. The
 // load of a whole zone would else come back in one moment.
 func (l *Lender) Returned() {
-	l.limit.Returned()
+	l.limit.ZoneRestored()
 	l.dirty()
 }
 
@@ -66,7 +66,7 @@
 		l.booted = now
 	}
 	if cold {
-		l.limit.Turned(boot)
+		l.limit.TurnedCold(boot)
 		l.warm, l.lent = false, true
 	}
 	l.boot = boot
--- a/entry/process/lender/lender.go
+++ b/entry/process/lender/lender.go
@@ -27,12 +27,12 @@
 	Limit() int
 	// Completed reports n requests completed under the current boot.
 	Completed(n int)
-	// Turned says that the upstream is cold under a boot number.
-	Turned(boot uint64)
+	// TurnedCold says that the upstream is cold under a boot number.
+	TurnedCold(boot uint64)
 	// Reported takes in what the upstream says of itself.
 	Reported(boot uint64, cold bool)
-	// Returned hears that the upstream is back in service.
-	Returned()
+	// ZoneRestored hears that the upstream is back in service.
+	ZoneRestored()
 }
 
 // A Config describes one upstream.
--- a/entry/process/limiter/limiter.go
+++ b/entry/process/limiter/limiter.go
@@ -57,10 +57,10 @@
 	}
 }
 
-// Turned says that there is evidence of coldness: a new boot number, a refusal,
+// TurnedCold says that there is evidence of coldness: a new boot number, a refusal,
 // a reset connection, or a slow first answer. The boot number is the newest
 // known, or 0.
-func (l *Limiter) Turned(boot uint64) {
+func (l *Limiter) TurnedCold(boot uint64) {
 	if boot != 0 {
 		l.boot = boot
 	}
@@ -76,20 +76,20 @@
 	case boot < l.boot:
 		return
 	case boot > l.boot && l.boot != 0:
-		l.Turned(boot)
+		l.TurnedCold(boot)
 	case cold && l.warm:
-		l.Turned(boot)
+		l.TurnedCold(boot)
 	}
 	l.boot = boot
 	l.reports = true
 	l.warm = !cold
 }
 
-// Returned says that the upstream's availability zone is back in service. An
+// ZoneRestored says that the upstream's availability zone is back in service. An
 // upstream that is warm begins with half of its slots, and the other half
 // comes back with completed work as after a cold start: the VMs of the zone
 // return together, and their load with them.
-func (l *Limiter) Returned() {
+func (l *Limiter) ZoneRestored() {
 	l.limit = max(l.cold, min(l.limit, l.slots/2))
 	l.done = 0
 }
--- a/entry/process/limiter/limiter_test.go
+++ b/entry/process/limiter/limiter_test.go
@@ -12,9 +12,9 @@
 func TestLimit(t *testing.T) {
 	type step = func(*limiter.Limiter)
 	completed := func(n int) step { return func(l *limiter.Limiter) { l.Completed(n) } }
-	turned := func(boot uint64) step { return func(l *limiter.Limiter) { l.Turned(boot) } }
+	turned := func(boot uint64) step { return func(l *limiter.Limiter) { l.TurnedCold(boot) } }
 	reported := func(boot uint64, cold bool) step { return func(l *limiter.Limiter) { l.Reported(boot, cold) } }
-	returned := func(l *limiter.Limiter) { l.Returned() }
+	returned := func(l *limiter.Limiter) { l.ZoneRestored() }
 	tests := []struct {
 		name  string
 		steps []step
@@ -83,7 +83,7 @@
 			"turn": func(*rapid.T) {
 				boot++
 				done = 0
-				l.Turned(boot)
+				l.TurnedCold(boot)
 			},
 			"": func(t *rapid.T) {
 				if done < warmAfter && l.Limit() > bears {
--- a/entry/process/scheduler/bench_test.go
+++ b/entry/process/scheduler/bench_test.go
@@ -14,18 +14,18 @@
 	const engines, waiting = 39, 100
 	f := newFleet(engines)
 	for i := range engines {
-		f.Adopt(scheduler.Work{Prompt: 100_000, Read: 2000, Long: true, Main: "u" + strconv.Itoa(i)}, false)
+		f.Adopt(scheduler.Workload{Prompt: 100_000, Prefill: 2000, Long: true, Main: "u" + strconv.Itoa(i)}, false)
 	}
 	for range waiting {
 		c := f.call(1000, 100*time.Second)
-		c.Ask.Objective = f.now.Add(time.Second)
+		c.Requirements.Objective = f.now.Add(time.Second)
 		f.ask(c)
 	}
-	if f.Waiting() != waiting {
-		b.Fatalf("%d wait", f.Waiting())
+	if f.QueueLength() != waiting {
+		b.Fatalf("%d wait", f.QueueLength())
 	}
 	for b.Loop() {
 		f.now = f.now.Add(50 * time.Microsecond)
-		f.Pump()
+		f.Dispatch()
 	}
 }
--- a/entry/process/scheduler/grant.go
+++ b/entry/process/scheduler/grant.go
@@ -10,8 +10,8 @@
 // A Helper is an upstream that reads a part of a prompt.
 type Helper struct {
 	tracker.Upstream
-	// Tokens is the memory to be set aside there; 0 for none.
-	Tokens int
+	// ReservedTokens is the memory to be set aside there; 0 for none.
+	ReservedTokens int
 }
 
 // A Grant is a place at an upstream, and at those that help to read.
@@ -22,11 +22,11 @@
 	// Load the work at the upstream when it was chosen.
 	Estimate float64
 	Load     placer.Load
-	// Waits is how long it was waited for, and why.
-	Waits Waits
+	// WaitTimes is how long it was waited for, and why.
+	WaitTimes WaitTimes
 
-	// Work is what the place takes, as another Scheduler has to know it.
-	Work Work
+	// Workload is what the place takes, as another Scheduler has to know it.
+	Workload Workload
 
 	scheduler *Scheduler
 	shares    []share
@@ -34,19 +34,19 @@
 	ended     bool
 }
 
-// A Work is what a request brings to the upstreams of its place.
-type Work struct {
+// A Workload is what a request brings to the upstreams of its place.
+type Workload struct {
 	Prompt, Output int
-	// Pause is the longest pause between events in milliseconds that its caller
-	// bears, and Read each upstream's reading time in milliseconds.
-	Pause, Read float64
+	// MaxPause is the longest pause between events in milliseconds that its caller
+	// bears, and Prefill each upstream's reading time in milliseconds.
+	MaxPause, Prefill float64
 	// Long says that it is read in parts.
 	Long bool
 	// Main and Helpers are the upstreams, Tokens the memory set aside at each of
 	// the helpers.
-	Main    string
-	Helpers []string
-	Tokens  []int
+	Main           string
+	Helpers        []string
+	ReservedTokens []int
 }
 
 // A share is the work that a request brings to one upstream.
@@ -57,23 +57,23 @@
 }
 
 // shares are what a work brings to each upstream.
-func (w Work) shares() []share {
+func (w Workload) shares() []share {
 	context := w.Prompt + w.Output
-	for _, n := range w.Tokens {
+	for _, n := range w.ReservedTokens {
 		context -= n
 	}
-	part := placer.Load{Unread: w.Read}
+	part := placer.Load{Unread: w.Prefill}
 	if w.Long {
 		part.Parts = 1
 	}
 	first := part
 	first.Starting = 1
-	stake := placer.Ask{Prompt: w.Prompt, Pause: w.Pause}.Stake()
+	stake := placer.Ask{Prompt: w.Prompt, Pause: w.MaxPause}.Stake()
 	all := []share{{w.Main, first, placer.Load{Streams: 1, Context: max(0, context), Stakes: stake}}}
 	for i, id := range w.Helpers {
 		held := placer.Load{}
-		if i < len(w.Tokens) {
-			held.Context = w.Tokens[i]
+		if i < len(w.ReservedTokens) {
+			held.Context = w.ReservedTokens[i]
 		}
 		all = append(all, share{id, part, held})
 	}
@@ -91,25 +91,25 @@
 	for _, t := range c.Tickets {
 		aside[t.Candidate] = t.Tokens
 	}
-	g.Work = Work{
-		Prompt: w.call.Ask.Prompt, Output: w.call.Ask.Output, Pause: w.call.Ask.Pause,
-		Read: c.Read, Long: w.times.long, Main: main.ID,
+	g.Workload = Workload{
+		Prompt: w.call.Requirements.Prompt, Output: w.call.Requirements.Output, MaxPause: w.call.Requirements.Pause,
+		Prefill: c.Read, Long: w.times.long, Main: main.ID,
 	}
 	for _, i := range c.Helpers {
 		g.Helpers = append(g.Helpers, Helper{states[i].Upstream, aside[i]})
-		g.Work.Helpers = append(g.Work.Helpers, states[i].ID)
-		g.Work.Tokens = append(g.Work.Tokens, aside[i])
+		g.Workload.Helpers = append(g.Workload.Helpers, states[i].ID)
+		g.Workload.ReservedTokens = append(g.Workload.ReservedTokens, aside[i])
 	}
 	g.take()
 	s.coldOf(main.ID).Sent(now)
 	s.note(&main)
-	s.rankerOf(w.call.Service.Name).Note(now, w.call.Team, oneShare, max(1, w.call.Ask.Prompt+w.call.Ask.Output))
+	s.rankerOf(w.call.Service.Name).Note(now, w.call.Team, oneShare, max(1, w.call.Requirements.Prompt+w.call.Requirements.Output))
 	return g
 }
 
 // take counts the work of a place.
 func (g *Grant) take() {
-	g.shares = g.Work.shares()
+	g.shares = g.Workload.shares()
 	for _, h := range g.shares {
 		g.scheduler.add(h.id, h.unread, 1)
 		g.scheduler.add(h.id, h.held, 1)
@@ -118,10 +118,10 @@
 
 // Adopt counts a place that another Scheduler has given. Without it whoever
 // begins to schedule for a group would take its upstreams for idle.
-func (s *Scheduler) Adopt(w Work, began bool) *Grant {
+func (s *Scheduler) Adopt(w Workload, began bool) *Grant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := &Grant{Work: w, scheduler: s}
+	g := &Grant{Workload: w, scheduler: s}
 	g.take()
 	if began {
 		g.began()
@@ -129,8 +129,8 @@
 	return g
 }
 
-// Began notes that the first token came: all parts have been read.
-func (g *Grant) Began() {
+// MarkStarted notes that the first token came: all parts have been read.
+func (g *Grant) MarkStarted() {
 	g.scheduler.locked(func() {
 		g.began()
 		g.scheduler.pump()
@@ -147,8 +147,8 @@
 	}
 }
 
-// Done gives the places back. It may be called more than once.
-func (g *Grant) Done() {
+// Release gives the places back. It may be called more than once.
+func (g *Grant) Release() {
 	g.scheduler.locked(func() {
 		if g.ended {
 			return
--- a/entry/process/scheduler/limit.go
+++ b/entry/process/scheduler/limit.go
@@ -8,9 +8,9 @@
 	"github.com/heathervane/heathervane/entry/process/tracker"
 )
 
-// Limited is the code of a request for a service whose upstreams have all named a
+// CodeLimited is the code of a request for a service whose upstreams have all named a
 // limit, and all that they take in time is taken.
-const Limited = "limited"
+const CodeLimited = "limited"
 
 const (
 	// limitPatience is how long after its arrival a request may wait at least for
@@ -25,10 +25,10 @@
 func (s *Scheduler) room(now time.Time, u *tracker.State) int {
 	r, ok := s.limits[u.ID]
 	if !ok {
-		r = budgeter.NewRate(now)
+		r = budgeter.NewRateLimiter(now)
 		s.limits[u.ID] = r
 	}
-	return r.Room(now, s.deps.LimitPart(u.Limit.Rate))
+	return r.Available(now, s.deps.RateQuota(u.Limit.Rate))
 }
 
 // note counts a request placed at an upstream that has named a limit.
@@ -58,7 +58,7 @@
 			return nil
 		}
 		p.now += s.room(now, &states[i])
-		p.rate += s.deps.LimitPart(states[i].Limit.Rate)
+		p.rate += s.deps.RateQuota(states[i].Limit.Rate)
 	}
 	return p
 }
@@ -88,7 +88,7 @@
 		return 0, false
 	}
 	wait := p.next()
-	last := w.call.Ask.Arrived.Add(limitPatience)
+	last := w.call.Requirements.Arrived.Add(limitPatience)
 	if w.times.start.After(last) {
 		last = w.times.start
 	}
--- a/entry/process/scheduler/overload_test.go
+++ b/entry/process/scheduler/overload_test.go
@@ -36,10 +36,10 @@
 			still = append(still, a)
 			continue
 		}
-		a.outcome.grant.Done()
+		a.outcome.grant.Release()
 	}
 	p.running = still
-	p.Pump()
+	p.Dispatch()
 	p.collect(lasts)
 }
 
@@ -50,7 +50,7 @@
 		select {
 		case a.outcome = <-a.out:
 			if a.outcome.grant != nil {
-				a.outcome.grant.Began()
+				a.outcome.grant.MarkStarted()
 				a.ends = p.now.Add(lasts)
 				p.running = append(p.running, a)
 			}
@@ -87,7 +87,7 @@
 			continue
 		}
 		a := &arrival{at: p.now}
-		c := scheduler.Call{Service: service, Ask: placer.Ask{
+		c := scheduler.Request{Service: service, Requirements: placer.Ask{
 			Prompt: 5000, Output: 3400, Pause: 250, Arrived: p.now, Objective: p.now.Add(objective),
 			Leaves: p.now.Add(2 * time.Second), Deadline: p.now.Add(10 * time.Second),
 		}}
--- a/entry/process/scheduler/queue.go
+++ b/entry/process/scheduler/queue.go
@@ -51,9 +51,9 @@
 	return r
 }
 
-// Pump places what can be placed and refuses what cannot be done in time. It is
+// Dispatch places what can be placed and refuses what cannot be done in time. It is
 // called when something changed, and now and then.
-func (s *Scheduler) Pump() {
+func (s *Scheduler) Dispatch() {
 	s.locked(func() {
 		s.freed = true
 		s.pump()
@@ -112,15 +112,15 @@
 // step does what can be done for one waiting request.
 func (s *Scheduler) step(now time.Time, w *waiter, l scan) (reply, bool) {
 	k := kind{w.call.Service.Name, w.times.size, !w.times.long && w.times.late(now)}
-	if w.times.hopeless(now, w.call.Stop) {
-		return reply{refusal: &Refusal{Code: Late, After: comeBack, Waits: w.waits.end(now)}}, true
+	if w.times.hopeless(now, w.call.StopsAt) {
+		return reply{refusal: &Refusal{Code: CodeLate, RetryAfter: comeBack, WaitTimes: w.waits.end(now)}}, true
 	}
 	if now.Before(s.holds) {
 		w.waits.turn(now, waitSync)
 		return reply{}, false
 	}
 	if after, is := l.beyond(s, now, w); is {
-		return reply{refusal: &Refusal{Code: Limited, After: after, Waits: w.waits.end(now)}}, true
+		return reply{refusal: &Refusal{Code: CodeLimited, RetryAfter: after, WaitTimes: w.waits.end(now)}}, true
 	}
 	if l.blocked[k] {
 		w.waits.turn(now, waitBehind)
@@ -132,7 +132,7 @@
 	}
 	states := l.states(s, now, w.call.Service.Name)
 	if len(states) == 0 && !s.deps.Tracker.Outdated() {
-		return reply{refusal: &Refusal{Code: None, After: comeBack, Waits: w.waits.end(now)}}, true
+		return reply{refusal: &Refusal{Code: CodeNoUpstream, RetryAfter: comeBack, WaitTimes: w.waits.end(now)}}, true
 	}
 	choice, ok := s.choose(now, w, s.candidates(now, w.call, states))
 	if !ok {
@@ -147,7 +147,7 @@
 		return reply{}, false
 	}
 	g := s.grant(now, w, choice, states)
-	g.Waits = w.waits.end(now)
+	g.WaitTimes = w.waits.end(now)
 	return reply{grant: g}, true
 }
 
@@ -162,18 +162,18 @@
 
 func (s *Scheduler) choose(now time.Time, w *waiter, cs []placer.Candidate) (placer.Choice, bool) {
 	if w.call.Service.Engine == nil {
-		return placer.Plain(w.call.Ask, cs)
+		return placer.Plain(w.call.Requirements, cs)
 	}
-	return placer.Engine(w.call.Service.Engine, w.call.Ask, cs, now, w.times.urgency(now))
+	return placer.Engine(w.call.Service.Engine, w.call.Requirements, cs, now, w.times.urgency(now))
 }
 
-func (s *Scheduler) candidates(now time.Time, call Call, states []tracker.State) []placer.Candidate {
+func (s *Scheduler) candidates(now time.Time, call Request, states []tracker.State) []placer.Candidate {
 	cs := make([]placer.Candidate, 0, len(states))
 	for i := range states {
 		u := &states[i]
 		c := placer.Candidate{
 			ID: u.ID, Zone: u.Zone, Slots: u.Slots, Near: u.Zone == call.Zone, Room: unbounded,
-			Cold: now.Before(u.ColdUntil), Silent: now.Before(u.SilentUntil) || slices.Contains(call.Avoid, u.ID),
+			Cold: now.Before(u.ColdUntil), Silent: now.Before(u.SilentUntil) || slices.Contains(call.Unreachable, u.ID),
 			Leaves: now.Before(u.LeavesUntil), Failed: u.Outcomes.Failed, Answered: u.Outcomes.Answered,
 		}
 		if l, ok := s.work[u.ID]; ok {
@@ -181,7 +181,7 @@
 		}
 		c.Load.Add(s.unknownAt(u.Slots))
 		if rate := call.Service.ColdRate; rate > 0 && c.Cold {
-			c.Room = s.coldOf(u.ID).Room(now, s.deps.ColdPart(u.ID, rate))
+			c.Room = s.coldOf(u.ID).Available(now, s.deps.ColdQuota(u.ID, rate))
 		}
 		if u.Limit.Limited {
 			c.Room = min(c.Room, s.room(now, u))
--- a/entry/process/scheduler/scheduler.go
+++ b/entry/process/scheduler/scheduler.go
@@ -35,49 +35,49 @@
 // Deps are what a Scheduler works with.
 type Deps struct {
 	Tracker *tracker.Tracker
-	// ColdPart is how many requests a second this Scheduler may place at an
+	// ColdQuota is how many requests a second this Scheduler may place at an
 	// upstream in cold start that bears so many.
-	ColdPart func(upstream string, rate float64) int
-	// LimitPart is how many requests a second this Scheduler may place at an
+	ColdQuota func(upstream string, rate float64) int
+	// RateQuota is how many requests a second this Scheduler may place at an
 	// upstream that has named a limit for all VMs together.
-	LimitPart func(named float64) float64
+	RateQuota func(named float64) float64
 	Now       func() time.Time
 }
 
-// A Call is a request for a place.
-type Call struct {
-	Service *matcher.Service
-	Ask     placer.Ask
+// A Request is a request for a place.
+type Request struct {
+	Service      *matcher.Service
+	Requirements placer.Ask
 	// Priority is the request's rank, 0 being the first.
 	Priority int
 	// Team is whose it is.
 	Team string
 	// Zone is that of the VM that asks, and Avoid are upstreams that it cannot
 	// reach.
-	Zone  string
-	Avoid []string
-	// Stop is when that VM stops; zero while it does not.
-	Stop time.Time
+	Zone        string
+	Unreachable []string
+	// StopsAt is when that VM stops; zero while it does not.
+	StopsAt time.Time
 }
 
 // A Refusal says that no place could be given in time. Nothing was sent.
 type Refusal struct { //nolint:errname // the word that callers meet
 	// Code is a short word for why.
 	Code string
-	// After is when coming back helps.
-	After time.Duration
-	// Waits is how long it waited for what.
-	Waits Waits
+	// RetryAfter is when coming back helps.
+	RetryAfter time.Duration
+	// WaitTimes is how long it waited for what.
+	WaitTimes WaitTimes
 }
 
 // Error gives the refusal in one line.
 func (r *Refusal) Error() string { return "no place: " + r.Code }
 
-// None is the code of a request for a service of which no upstream may be used.
-const None = "no_upstream"
+// CodeNoUpstream is the code of a request for a service of which no upstream may be used.
+const CodeNoUpstream = "no_upstream"
 
-// Late is the code of a request that could not be done in time.
-const Late = "late"
+// CodeLate is the code of a request that could not be done in time.
+const CodeLate = "late"
 
 // A Scheduler places the requests for one group of upstreams.
 type Scheduler struct {
@@ -86,8 +86,8 @@
 
 	mu      sync.Mutex
 	work    map[string]*placer.Load
-	cold    map[string]*budgeter.Cold
-	limits  map[string]*budgeter.Rate
+	cold    map[string]*budgeter.ColdLimiter
+	limits  map[string]*budgeter.RateLimiter
 	waiting []*waiter
 	// rankers keep the teams' use of each service.
 	rankers map[string]*ranker.Ranker
@@ -102,7 +102,7 @@
 }
 
 type waiter struct {
-	call  Call
+	call  Request
 	times times
 	tell  func(*Grant, *Refusal)
 	// next is when a place is to be looked for again, and holds that what it lacks
@@ -127,26 +127,26 @@
 func New(zone string, d Deps) *Scheduler {
 	return &Scheduler{
 		zone: zone, deps: d,
-		work: make(map[string]*placer.Load), cold: make(map[string]*budgeter.Cold), limits: make(map[string]*budgeter.Rate), rankers: make(map[string]*ranker.Ranker),
+		work: make(map[string]*placer.Load), cold: make(map[string]*budgeter.ColdLimiter), limits: make(map[string]*budgeter.RateLimiter), rankers: make(map[string]*ranker.Ranker),
 	}
 }
 
-// An Asked is a request for a place that may still wait.
-type Asked struct {
+// An Pending is a request for a place that may still wait.
+type Pending struct {
 	scheduler *Scheduler
 	waiter    *waiter
 }
 
-// Ask asks for a place. It has tell called with the place or the refusal, once,
+// Submit asks for a place. It has tell called with the place or the refusal, once,
 // by whoever calls the Scheduler when that is known, this call included.
-func (s *Scheduler) Ask(c Call, tell func(*Grant, *Refusal)) *Asked {
+func (s *Scheduler) Submit(c Request, tell func(*Grant, *Refusal)) *Pending {
 	w := &waiter{call: c, times: timesOf(c), tell: tell}
 	w.waits.since = s.deps.Now()
 	s.locked(func() {
 		s.waiting = append(s.waiting, w)
 		s.pump()
 	})
-	return &Asked{s, w}
+	return &Pending{s, w}
 }
 
 // locked does something under the lock, and gives the replies that came of it
@@ -162,9 +162,9 @@
 	}
 }
 
-// Leave takes the request back: its caller has gone, or its time is over. It
+// Cancel takes the request back: its caller has gone, or its time is over. It
 // gives how long it waited for what. One that was told has nothing to take back.
-func (a *Asked) Leave() Waits {
+func (a *Pending) Cancel() WaitTimes {
 	s := a.scheduler
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,33 +172,33 @@
 	return a.waiter.waits.end(s.deps.Now())
 }
 
-// Stop notes that the VM that asked stops at a time: a request that cannot end
+// SetStop notes that the VM that asked stops at a time: a request that cannot end
 // before is refused, and still has time to go to another.
-func (a *Asked) Stop(at time.Time) {
+func (a *Pending) SetStop(at time.Time) {
 	a.scheduler.locked(func() {
-		a.waiter.call.Stop = at
+		a.waiter.call.StopsAt = at
 		a.scheduler.pump()
 	})
 }
 
-// Assume has others taken to have so much at each upstream besides what is known.
-func (s *Scheduler) Assume(l placer.Load) {
+// AssumeLoad has others taken to have so much at each upstream besides what is known.
+func (s *Scheduler) AssumeLoad(l placer.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unknown = l
 }
 
-// Hold has nothing placed before a time, at which what is under way is known.
-func (s *Scheduler) Hold(until time.Time) {
+// PauseUntil has nothing placed before a time, at which what is under way is known.
+func (s *Scheduler) PauseUntil(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.holds = until
 }
 
-func (s *Scheduler) coldOf(id string) *budgeter.Cold {
+func (s *Scheduler) coldOf(id string) *budgeter.ColdLimiter {
 	c, ok := s.cold[id]
 	if !ok {
-		c = budgeter.NewCold()
+		c = budgeter.NewColdLimiter()
 		s.cold[id] = c
 	}
 	return c
@@ -221,8 +221,8 @@
 	}
 }
 
-// Work is what is under way at each upstream.
-func (s *Scheduler) Work() map[string]placer.Load {
+// Loads is what is under way at each upstream.
+func (s *Scheduler) Loads() map[string]placer.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make(map[string]placer.Load, len(s.work))
@@ -232,8 +232,8 @@
 	return all
 }
 
-// Waiting is how many requests wait.
-func (s *Scheduler) Waiting() int {
+// QueueLength is how many requests wait.
+func (s *Scheduler) QueueLength() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.waiting)
@@ -247,14 +247,14 @@
 	delete(s.limits, id)
 }
 
-// Reading is the reading time in milliseconds of the prompts that wait.
-func (s *Scheduler) Reading() float64 {
+// QueuedPrefill is the reading time in milliseconds of the prompts that wait.
+func (s *Scheduler) QueuedPrefill() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sum := 0.0
 	for _, w := range s.waiting {
 		if e := w.call.Service.Engine; e != nil {
-			sum += placer.Read(e, w.call.Ask.Prompt, 1)
+			sum += placer.Read(e, w.call.Requirements.Prompt, 1)
 		}
 	}
 	return sum
--- a/entry/process/scheduler/scheduler_test.go
+++ b/entry/process/scheduler/scheduler_test.go
@@ -30,7 +30,7 @@
 	f := &fleet{tracker: tracker.New(), now: time.Unix(1_000_000, 0)}
 	f.Scheduler = scheduler.New("", scheduler.Deps{
 		Tracker: f.tracker, Now: func() time.Time { return f.now },
-		ColdPart: func(_ string, rate float64) int { return int(rate) }, LimitPart: func(named float64) float64 { return named },
+		ColdQuota: func(_ string, rate float64) int { return int(rate) }, RateQuota: func(named float64) float64 { return named },
 	})
 	for i := range engines {
 		f.tracker.Put(f.now, tracker.Upstream{ID: "u" + strconv.Itoa(i), Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 2})
@@ -41,13 +41,13 @@
 // others have so many streams at an upstream, given by another scheduler.
 func (f *fleet) others(upstream string, streams int) (all []*scheduler.Grant) {
 	for range streams {
-		all = append(all, f.Adopt(scheduler.Work{Prompt: 1000, Main: upstream}, true))
+		all = append(all, f.Adopt(scheduler.Workload{Prompt: 1000, Main: upstream}, true))
 	}
 	return all
 }
 
-func (f *fleet) call(prompt int, limit time.Duration) scheduler.Call {
-	return scheduler.Call{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Ask: placer.Ask{
+func (f *fleet) call(prompt int, limit time.Duration) scheduler.Request {
+	return scheduler.Request{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Requirements: placer.Ask{
 		Prompt: prompt, Output: 40, Pause: 250, Arrived: f.now, Objective: f.now.Add(limit / 10), Deadline: f.now.Add(limit),
 	}}
 }
@@ -66,18 +66,18 @@
 }
 
 // ask asks for a place; the answer comes with a call of the scheduler.
-func (f *fleet) ask(c scheduler.Call) chan outcome {
+func (f *fleet) ask(c scheduler.Request) chan outcome {
 	_, out := f.asked(c)
 	return out
 }
 
-func (f *fleet) asked(c scheduler.Call) (*scheduler.Asked, chan outcome) {
+func (f *fleet) asked(c scheduler.Request) (*scheduler.Pending, chan outcome) {
 	out := make(chan outcome, 1)
-	return f.Ask(c, func(g *scheduler.Grant, r *scheduler.Refusal) { out <- outcome{g, r} }), out
+	return f.Submit(c, func(g *scheduler.Grant, r *scheduler.Refusal) { out <- outcome{g, r} }), out
 }
 
 // acquire is a request that is answered at once.
-func (f *fleet) acquire(t *testing.T, c scheduler.Call) (*scheduler.Grant, *scheduler.Refusal) {
+func (f *fleet) acquire(t *testing.T, c scheduler.Request) (*scheduler.Grant, *scheduler.Refusal) {
 	t.Helper()
 	select {
 	case o := <-f.ask(c):
@@ -101,15 +101,15 @@
 				g := open[0]
 				open = open[1:]
 				if rapid.Bool().Draw(t, "began") {
-					g.Began()
+					g.MarkStarted()
 				}
-				g.Done()
-				g.Done()
+				g.Release()
+				g.Release()
 			case rapid.Bool().Draw(t, "adopt"):
-				open = append(open, f.Adopt(scheduler.Work{Prompt: rapid.IntRange(1, 300_000).Draw(t, "prompt"), Read: 3.7, Main: "u0", Helpers: []string{"u1"}, Tokens: []int{9000}}, rapid.Bool().Draw(t, "began")))
+				open = append(open, f.Adopt(scheduler.Workload{Prompt: rapid.IntRange(1, 300_000).Draw(t, "prompt"), Prefill: 3.7, Main: "u0", Helpers: []string{"u1"}, ReservedTokens: []int{9000}}, rapid.Bool().Draw(t, "began")))
 			default:
 				asked, out := f.asked(f.call(rapid.IntRange(1, 300_000).Draw(t, "prompt"), 10*time.Second))
-				asked.Leave()
+				asked.Cancel()
 				select {
 				case o := <-out:
 					if o.grant != nil {
@@ -120,10 +120,10 @@
 			}
 		}
 		for _, g := range open {
-			g.Done()
+			g.Release()
 		}
-		if len(f.Work()) != 0 || f.Waiting() != 0 {
-			t.Fatalf("left: %v, waiting %d", f.Work(), f.Waiting())
+		if len(f.Loads()) != 0 || f.QueueLength() != 0 {
+			t.Fatalf("left: %v, waiting %d", f.Loads(), f.QueueLength())
 		}
 	})
 }
@@ -137,13 +137,13 @@
 		assert.Assert(t, refusal == nil)
 	}
 	waits := f.ask(f.call(1000, 10*time.Second))
-	assert.Equal(t, f.Waiting(), 1)
+	assert.Equal(t, f.QueueLength(), 1)
 	f.now = f.now.Add(9950 * time.Millisecond)
-	f.Pump()
+	f.Dispatch()
 	o := <-waits
 	assert.Assert(t, o.refusal != nil)
-	assert.Equal(t, o.refusal.Code, scheduler.Late)
-	assert.Assert(t, o.refusal.After > 0)
+	assert.Equal(t, o.refusal.Code, scheduler.CodeLate)
+	assert.Assert(t, o.refusal.RetryAfter > 0)
 	_, refusal := f.acquire(t, f.call(600_000, 500*time.Millisecond))
 	assert.Assert(t, refusal != nil, "half a second cannot be enough")
 }
@@ -153,13 +153,13 @@
 func TestPromptWithoutPlaceHoldsBackNoOther(t *testing.T) {
 	f := newFleet(1)
 	huge := f.ask(f.call(500_000, 100*time.Second))
-	assert.Equal(t, f.Waiting(), 1)
+	assert.Equal(t, f.QueueLength(), 1)
 	g, refusal := f.acquire(t, f.call(1000, 100*time.Second))
 	assert.Assert(t, refusal == nil)
-	g.Done()
+	g.Release()
 	g, refusal = f.acquire(t, f.call(40_000, 100*time.Second))
 	assert.Assert(t, refusal == nil)
-	g.Done()
+	g.Release()
 	assert.Equal(t, len(huge), 0)
 }
 
@@ -170,23 +170,23 @@
 	first, _ := f.acquire(t, f.call(1000, 100*time.Second))
 	second, _ := f.acquire(t, f.call(1000, 100*time.Second))
 	late := f.call(1000, 100*time.Second)
-	late.Ask.Objective = f.now.Add(-time.Second)
+	late.Requirements.Objective = f.now.Add(-time.Second)
 	relaxed, urgent := f.call(1000, 200*time.Second), f.call(1000, 100*time.Second)
 	ranked := f.call(1000, 200*time.Second)
 	relaxed.Priority, urgent.Priority, late.Priority = 1, 1, 1
 	var outs []chan outcome
-	for _, c := range []scheduler.Call{late, relaxed, urgent, ranked} {
+	for _, c := range []scheduler.Request{late, relaxed, urgent, ranked} {
 		outs = append(outs, f.ask(c))
 	}
-	assert.Equal(t, f.Waiting(), 4)
-	first.Done()
+	assert.Equal(t, f.QueueLength(), 4)
+	first.Release()
 	o := <-outs[3]
-	second.Done()
+	second.Release()
 	o2 := <-outs[2]
-	o.grant.Done()
+	o.grant.Release()
 	<-outs[1]
 	assert.Equal(t, len(outs[0]), 0)
-	o2.grant.Done()
+	o2.grant.Release()
 	<-outs[0]
 }
 
@@ -199,24 +199,24 @@
 	busy.Team, quiet.Team = "busy", "quiet"
 	for range 2 {
 		g, _ := f.acquire(t, quiet)
-		g.Done()
+		g.Release()
 	}
 	for range 12 {
 		g, _ := f.acquire(t, busy)
-		g.Done()
+		g.Release()
 	}
 	for range 2 {
 		g, _ := f.acquire(t, busy)
 		open = append(open, g)
 	}
 	first := f.ask(busy)
-	quiet.Ask.Objective = quiet.Ask.Objective.Add(time.Millisecond)
+	quiet.Requirements.Objective = quiet.Requirements.Objective.Add(time.Millisecond)
 	second := f.ask(quiet)
-	open[0].Done()
+	open[0].Release()
 	o := <-second
 	assert.Assert(t, o.grant != nil)
 	assert.Equal(t, len(first), 0)
-	open[1].Done()
+	open[1].Release()
 	<-first
 }
 
@@ -226,13 +226,13 @@
 // callers leave.
 func TestLateShortPromptsDoNotWaitBehindNewOnes(t *testing.T) {
 	f := newFleet(1)
-	f.Adopt(scheduler.Work{Prompt: 100_000, Read: 2000, Long: true, Main: "u0"}, false)
+	f.Adopt(scheduler.Workload{Prompt: 100_000, Prefill: 2000, Long: true, Main: "u0"}, false)
 	late := f.call(1000, 20*time.Second)
-	late.Ask.Objective = f.now.Add(-time.Second)
+	late.Requirements.Objective = f.now.Add(-time.Second)
 	fresh := f.ask(f.call(1000, 10*time.Second))
-	assert.Equal(t, f.Waiting(), 1)
+	assert.Equal(t, f.QueueLength(), 1)
 	placed := f.ask(late)
-	assert.Equal(t, f.Waiting(), 1, "the late one waits as well")
+	assert.Equal(t, f.QueueLength(), 1, "the late one waits as well")
 	assert.Assert(t, (<-placed).grant != nil)
 	assert.Equal(t, len(fresh), 0)
 }
@@ -248,7 +248,7 @@
 	}
 	waits := f.ask(f.call(1000, 10*time.Second))
 	assert.Equal(t, len(waits), 0)
-	adopted[0].Done()
+	adopted[0].Release()
 	assert.Equal(t, (<-waits).grant.Upstream.ID, "u0")
 }
 
@@ -256,13 +256,13 @@
 // places nothing, and then the first in order, not the first that came.
 func TestNothingIsPlacedWhileItLearns(t *testing.T) {
 	f := newFleet(1)
-	f.Hold(f.now.Add(30 * time.Millisecond))
+	f.PauseUntil(f.now.Add(30 * time.Millisecond))
 	relaxed, urgent := f.ask(f.call(1000, 200*time.Second)), f.ask(f.call(1000, 100*time.Second))
 	f.others("u0", 1)
-	f.Pump()
-	assert.Equal(t, f.Waiting(), 2)
+	f.Dispatch()
+	assert.Equal(t, f.QueueLength(), 2)
 	f.now = f.now.Add(30 * time.Millisecond)
-	f.Pump()
+	f.Dispatch()
 	assert.Assert(t, (<-urgent).grant != nil)
 	assert.Equal(t, len(relaxed), 0)
 }
@@ -272,11 +272,11 @@
 // other.
 func TestWhatCannotBeInTimeHoldsBackNoOther(t *testing.T) {
 	f := newFleet(1)
-	f.Adopt(scheduler.Work{Prompt: 40_000, Read: 150, Long: true, Main: "u0"}, false)
+	f.Adopt(scheduler.Workload{Prompt: 40_000, Prefill: 150, Long: true, Main: "u0"}, false)
 	pressed := f.call(1000, 100*time.Second)
-	pressed.Ask.Objective = f.now.Add(150 * time.Millisecond)
+	pressed.Requirements.Objective = f.now.Add(150 * time.Millisecond)
 	first := f.ask(pressed)
-	assert.Equal(t, f.Waiting(), 1)
+	assert.Equal(t, f.QueueLength(), 1)
 	second, refusal := f.acquire(t, f.call(1000, 100*time.Second))
 	assert.Assert(t, refusal == nil && second != nil)
 	assert.Equal(t, len(first), 0)
@@ -296,7 +296,7 @@
 	}
 	f = newFleet(2)
 	c := f.call(5000, 10*time.Second)
-	c.Avoid = []string{"u1"}
+	c.Unreachable = []string{"u1"}
 	g, _ := f.acquire(t, c)
 	assert.Equal(t, g.Upstream.ID, "u0")
 }
@@ -307,7 +307,7 @@
 	f.tracker.Put(f.now, tracker.Upstream{ID: "far", Service: "s", Zone: "y", Slots: 2})
 	s := scheduler.New("y", scheduler.Deps{Tracker: f.tracker, Now: func() time.Time { return f.now }})
 	out := make(chan outcome, 1)
-	s.Ask(f.call(1000, 10*time.Second), func(g *scheduler.Grant, r *scheduler.Refusal) { out <- outcome{g, r} })
+	s.Submit(f.call(1000, 10*time.Second), func(g *scheduler.Grant, r *scheduler.Refusal) { out <- outcome{g, r} })
 	assert.Equal(t, (<-out).grant.Upstream.ID, "far")
 }
 
@@ -320,12 +320,12 @@
 	for range 4 {
 		g, refusal := f.acquire(t, f.call(1000, 100*time.Second))
 		assert.Assert(t, refusal == nil)
-		g.Done()
+		g.Release()
 	}
 	out := f.ask(f.call(1000, 100*time.Second))
-	assert.Equal(t, f.Waiting(), 1)
+	assert.Equal(t, f.QueueLength(), 1)
 	f.now = f.now.Add(1300 * time.Millisecond)
-	f.Pump()
+	f.Dispatch()
 	assert.Assert(t, (<-out).grant != nil)
 }
 
@@ -334,13 +334,13 @@
 func TestRefusedBeforeTheCallerLeaves(t *testing.T) {
 	f := full(t)
 	c := f.call(1000, 100*time.Second)
-	c.Ask.Leaves = f.now.Add(2 * time.Second)
+	c.Requirements.Leaves = f.now.Add(2 * time.Second)
 	out := f.ask(c)
 	f.now = f.now.Add(1700 * time.Millisecond)
-	f.Pump()
-	assert.Equal(t, f.Waiting(), 1)
+	f.Dispatch()
+	assert.Equal(t, f.QueueLength(), 1)
 	f.now = f.now.Add(200 * time.Millisecond)
-	f.Pump()
+	f.Dispatch()
 	assert.Assert(t, (<-out).refusal != nil)
 }
 
@@ -353,10 +353,10 @@
 		assert.Assert(t, refusal == nil)
 	}
 	asked, out := f.asked(f.call(1000, 100*time.Second))
-	asked.Stop(f.now.Add(2 * time.Second))
-	assert.Equal(t, f.Waiting(), 1, "two seconds are enough")
+	asked.SetStop(f.now.Add(2 * time.Second))
+	assert.Equal(t, f.QueueLength(), 1, "two seconds are enough")
 	f.now = f.now.Add(1950 * time.Millisecond)
-	f.Pump()
+	f.Dispatch()
 	assert.Assert(t, (<-out).refusal != nil)
 }
 
@@ -364,11 +364,11 @@
 func TestCallersWhoLeaveDoNotWaitOn(t *testing.T) {
 	f := full(t)
 	asked, out := f.asked(f.call(1000, 10*time.Second))
-	assert.Equal(t, f.Waiting(), 1)
+	assert.Equal(t, f.QueueLength(), 1)
 	f.now = f.now.Add(time.Second)
-	why, long := asked.Leave().Longest()
+	why, long := asked.Cancel().Longest()
 	assert.Assert(t, why == "engine" && long == time.Second, "%s %v", why, long)
-	assert.Equal(t, f.Waiting(), 0)
+	assert.Equal(t, f.QueueLength(), 0)
 	assert.Equal(t, len(out), 0)
 }
 
@@ -378,19 +378,19 @@
 // VM that has not read the list for long cannot say so, and waits.
 func TestServiceWithoutUpstreamsRefusesAtOnce(t *testing.T) {
 	f := newFleet(0)
-	plain := scheduler.Call{Service: &matcher.Service{Name: "s"}, Ask: placer.Ask{Arrived: f.now, Objective: f.now.Add(300 * time.Millisecond), Deadline: f.now.Add(800 * time.Millisecond)}}
-	for _, c := range []scheduler.Call{plain, f.call(1000, 10*time.Second), f.call(60_000, 10*time.Second)} {
+	plain := scheduler.Request{Service: &matcher.Service{Name: "s"}, Requirements: placer.Ask{Arrived: f.now, Objective: f.now.Add(300 * time.Millisecond), Deadline: f.now.Add(800 * time.Millisecond)}}
+	for _, c := range []scheduler.Request{plain, f.call(1000, 10*time.Second), f.call(60_000, 10*time.Second)} {
 		g, refusal := f.acquire(t, c)
 		assert.Assert(t, g == nil)
-		assert.Equal(t, refusal.Code, scheduler.None)
-		assert.Assert(t, refusal.After > 0)
+		assert.Equal(t, refusal.Code, scheduler.CodeNoUpstream)
+		assert.Assert(t, refusal.RetryAfter > 0)
 	}
 	f.tracker.Outdate(true)
 	waits := f.ask(plain)
-	assert.Equal(t, f.Waiting(), 1)
+	assert.Equal(t, f.QueueLength(), 1)
 	f.tracker.Outdate(false)
 	f.tracker.Put(f.now, tracker.Upstream{ID: "u", Service: "s", Slots: 2})
-	f.Pump()
+	f.Dispatch()
 	assert.Assert(t, (<-waits).grant != nil)
 }
 
@@ -412,12 +412,12 @@
 	for range 3 * rate * engines * seconds {
 		f.now = f.now.Add(step)
 		asked := f.now
-		f.Ask(f.call(1000, 10*time.Second), func(g *scheduler.Grant, r *scheduler.Refusal) {
+		f.Submit(f.call(1000, 10*time.Second), func(g *scheduler.Grant, r *scheduler.Refusal) {
 			took := f.now.Sub(asked)
 			if r != nil {
 				refused++
-				assert.Equal(t, r.Code, scheduler.Limited)
-				assert.Assert(t, r.After > 0)
+				assert.Equal(t, r.Code, scheduler.CodeLimited)
+				assert.Assert(t, r.RetryAfter > 0)
 				assert.Assert(t, took < 1500*time.Millisecond, "refused after %v", took)
 				return
 			}
@@ -425,9 +425,9 @@
 			if took <= time.Second {
 				inTime++
 			}
-			g.Done()
+			g.Release()
 		})
-		f.Pump()
+		f.Dispatch()
 	}
 	least := rate*engines*seconds - 2*engines
 	assert.Assert(t, granted >= least, "%d of %d granted, refused %d", granted, least, refused)
@@ -444,10 +444,10 @@
 	counts := map[string]int{}
 	for range 200 {
 		f.now = f.now.Add(20 * time.Millisecond)
-		f.Ask(f.call(1000, 10*time.Second), func(g *scheduler.Grant, r *scheduler.Refusal) {
+		f.Submit(f.call(1000, 10*time.Second), func(g *scheduler.Grant, r *scheduler.Refusal) {
 			assert.Assert(t, r == nil, "refused: %v", r)
 			counts[g.Upstream.ID]++
-			g.Done()
+			g.Release()
 		})
 	}
 	assert.Assert(t, counts["u0"] <= rate*4+1, "%d in 4 s", counts["u0"])
--- a/entry/process/scheduler/times.go
+++ b/entry/process/scheduler/times.go
@@ -63,32 +63,32 @@
 // would, and each is served when it is a moment too late for it.
 func (t times) late(now time.Time) bool { return now.After(t.start) }
 
-func timesOf(c Call) times {
+func timesOf(c Request) times {
 	e := c.Service.Engine
 	if e == nil {
-		return times{start: c.Ask.Objective, last: c.Ask.Deadline.Add(-plainWork), takes: plainWork}
+		return times{start: c.Requirements.Objective, last: c.Requirements.Deadline.Add(-plainWork), takes: plainWork}
 	}
-	long := !placer.Short(e, c.Ask.Prompt)
-	read := placer.Read(e, c.Ask.Prompt, 1)
+	long := !placer.Short(e, c.Requirements.Prompt)
+	read := placer.Read(e, c.Requirements.Prompt, 1)
 	if long {
-		read = placer.Read(e, c.Ask.Prompt, placer.MostParts+1)
+		read = placer.Read(e, c.Requirements.Prompt, placer.MostParts+1)
 	}
 	pass := placer.Pass(e, usualStreams, usualContext)
 	first := milliseconds(1.5*pass + read)
 	// Whether an answer is as long as it may be is not known beforehand: refused
 	// for that, most requests would lose an answer that they could have had.
-	answer := milliseconds(pass * placer.UsualOutput * float64(c.Ask.Output) / float64(max(1, e.Stride)))
+	answer := milliseconds(pass * placer.UsualOutput * float64(c.Requirements.Output) / float64(max(1, e.Stride)))
 	leaves := time.Time{}
-	if !c.Ask.Leaves.IsZero() {
-		leaves = c.Ask.Leaves.Add(-first - margin)
+	if !c.Requirements.Leaves.IsZero() {
+		leaves = c.Requirements.Leaves.Add(-first - margin)
 	}
 	return times{
-		start:  c.Ask.Objective.Add(-first - margin),
-		last:   c.Ask.Deadline.Add(-first - answer),
+		start:  c.Requirements.Objective.Add(-first - margin),
+		last:   c.Requirements.Deadline.Add(-first - answer),
 		leaves: leaves,
 		takes:  first + answer,
 		long:   long,
-		size:   bits.Len(uint(placer.Read(e, c.Ask.Prompt, 1) / sizeUnit)),
+		size:   bits.Len(uint(placer.Read(e, c.Requirements.Prompt, 1) / sizeUnit)),
 	}
 }
 
--- a/entry/process/scheduler/wait.go
+++ b/entry/process/scheduler/wait.go
@@ -29,12 +29,12 @@
 	return placer.Lack(r).String()
 }
 
-// Waits is how long a request waited, by reason.
-type Waits [reasons]time.Duration
+// WaitTimes is how long a request waited, by reason.
+type WaitTimes [reasons]time.Duration
 
 // Longest is the reason for which it waited longest, in one word, and how long;
 // empty where it did not wait.
-func (w Waits) Longest() (why string, long time.Duration) {
+func (w WaitTimes) Longest() (why string, long time.Duration) {
 	for r, d := range w {
 		if d > long {
 			why, long = reason(r).String(), d
@@ -46,7 +46,7 @@
 // A wait adds up why a request waits. Without it one knows of a late prompt that
 // it waited, and not whether engines were missing, or peace for other streams.
 type wait struct {
-	past   Waits
+	past   WaitTimes
 	reason reason
 	since  time.Time
 }
@@ -58,13 +58,13 @@
 }
 
 // end gives the sum.
-func (w *wait) end(now time.Time) Waits {
+func (w *wait) end(now time.Time) WaitTimes {
 	w.turn(now, w.reason)
 	return w.past
 }
 
-// Add counts what is left of a time that passed as spent in waiting for news.
-func (w *Waits) Add(passed time.Duration) {
+// AddRemainder counts what is left of a time that passed as spent in waiting for news.
+func (w *WaitTimes) AddRemainder(passed time.Duration) {
 	for _, d := range w {
 		passed -= d
 	}
--- a/entry/process/server/quarantine.go
+++ b/entry/process/server/quarantine.go
@@ -15,5 +15,5 @@
 		vms = append(vms, m.VM)
 	}
 	slices.Sort(vms)
-	return budgeter.Part(1, "trial "+f.String(), v.settings.ID, slices.Compact(vms)) > 0
+	return budgeter.Quota(1, "trial "+f.String(), v.settings.ID, slices.Compact(vms)) > 0
 }
--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -123,9 +123,9 @@
 	if j.route.Patience > 0 && !j.begun {
 		leaves = j.arrived.Add(j.route.Patience)
 	}
-	grant, refused := r.deps.Allocator.Acquire(ctx, scheduler.Call{
+	grant, refused := r.deps.Allocator.Acquire(ctx, scheduler.Request{
 		Service: j.service, Priority: j.priority(), Team: j.teamName(),
-		Ask: placer.Ask{
+		Requirements: placer.Ask{
 			Prompt: j.ask.Prompt, Output: j.ask.Output, Tried: j.tried, Pause: float64(j.route.Gap.Milliseconds()),
 			Arrived: j.arrived, Objective: j.arrived.Add(j.route.Objective), Deadline: j.end, Leaves: leaves,
 		},
@@ -133,8 +133,8 @@
 	now := r.deps.Now()
 	j.trace.waited += now.Sub(from)
 	if refused != nil {
-		j.trace.waits = refused.Waits
-		return nil, refuser.New(http.StatusServiceUnavailable, refused.Code, "no upstream could answer it in time").Back(refused.After)
+		j.trace.waits = refused.WaitTimes
+		return nil, refuser.New(http.StatusServiceUnavailable, refused.Code, "no upstream could answer it in time").Back(refused.RetryAfter)
 	}
 	j.trace.waits = grant.Waits
 	t := &try{grant: grant}
@@ -173,15 +173,15 @@
 }
 
 func late() *refuser.Refusal {
-	return refuser.New(http.StatusServiceUnavailable, scheduler.Late, "no upstream could answer it in time").Back(comeBack)
+	return refuser.New(http.StatusServiceUnavailable, scheduler.CodeLate, "no upstream could answer it in time").Back(comeBack)
 }
 
 // reserve sets memory aside where the grant asks for it.
 func (r *Relayer) reserve(ctx context.Context, j *job, t *try) bool {
 	var parts []reserver.Part
 	for _, h := range t.grant.Helpers {
-		if h.Tokens > 0 {
-			parts = append(parts, reserver.Part{Address: h.Address, Tokens: h.Tokens})
+		if h.ReservedTokens > 0 {
+			parts = append(parts, reserver.Part{Address: h.Address, Tokens: h.ReservedTokens})
 		}
 	}
 	if len(parts) == 0 {
@@ -290,7 +290,7 @@
 	named := 0
 	for _, h := range t.grant.Helpers {
 		helper := Helper{Address: h.Address}
-		if h.Tokens > 0 {
+		if h.ReservedTokens > 0 {
 			helper.Memory = t.holding.Names[named]
 			named++
 		}
--- a/entry/request/relayer/relayer.go
+++ b/entry/request/relayer/relayer.go
@@ -209,7 +209,7 @@
 type trace struct {
 	waited time.Duration
 	// waits is why, for the last place.
-	waits scheduler.Waits
+	waits scheduler.WaitTimes
 	first time.Duration
 	// pause is the longest time between two events.
 	pause    time.Duration
