--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -272,7 +272,7 @@
 		r.gone = true
 		return
 	}
-	r.asked = p.vms[r.vm].allocator.Submit(scheduler.Call{Service: p.service, Ask: placer.Request{
+	r.asked = p.vms[r.vm].allocator.Submit(scheduler.Request{Service: p.service, Requirements: placer.Request{
 		Prompt: r.prompt, Output: k.Bound, MaxPause: float64(k.Pause.Milliseconds()), Arrived: at(r.at),
 		Objective: at(r.at).Add(k.Objective), Deadline: at(r.at).Add(k.Limit), CallerTimeout: at(r.leaves()),
 	}})
--- a/entry/process/allocator/network_test.go
+++ b/entry/process/allocator/network_test.go
@@ -176,8 +176,8 @@
 	v.late = nil
 }
 
-func (n *network) call() scheduler.Call {
-	return scheduler.Call{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Ask: placer.Request{
+func (n *network) call() scheduler.Request {
+	return scheduler.Request{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Requirements: placer.Request{
 		Prompt: 1000, Output: 40, MaxPause: 250, Arrived: n.now, Objective: n.now.Add(time.Second), Deadline: n.now.Add(10 * time.Second),
 	}}
 }
