--- a/entry/process/reserver/reserver.go
+++ b/entry/process/reserver/reserver.go
@@ -1,8 +1,8 @@
-// Package reserver sets memory aside at engines for prompts that no single
-// engine has room for: at all that are needed, or at none. It answers VMs that
-// die, orders whose answers are lost and orders that are carried out late.
-// Without leases that are short and renewed, memory of a VM that died would
-// stay taken, and engines would seem full forever.
+// Package reserver reserves memory at engines for prompts that do not fit on a
+// single engine: at every engine that the request needs, or at none. It copes
+// with VMs that crash, calls whose reply is lost and calls that take effect late.
+// Memory is held under short leases that are renewed. Without them the memory of a
+// crashed VM would stay reserved, and its engines would appear full forever.
 package reserver
 
 import (
@@ -17,92 +17,92 @@
 )
 
 const (
-	// renewals is how often a lease is renewed in its own length, so that one
-	// lost renewal does not end it.
-	renewals = 3
-	// answerTime bounds one order. Engines answer in a few milliseconds; the
-	// caller's time runs on meanwhile.
-	answerTime = 400 * time.Millisecond
-	// releases is how often a release without an answer is tried. The lease
-	// ends by itself after that.
-	releases = 3
+	// renewalsPerLease is how often a lease is renewed within its duration, so that
+	// a single lost renewal does not let it expire.
+	renewalsPerLease = 3
+	// callTimeout bounds one call to an engine. Engines reply within a few
+	// milliseconds; the caller's deadline keeps running meanwhile.
+	callTimeout = 400 * time.Millisecond
+	// releaseAttempts is how often a release that fails is attempted. After that
+	// the lease expires by itself.
+	releaseAttempts = 3
 )
 
 // Error is the class of this package's errors.
 var Error = errs.Class("reserver")
 
-// An EngineClient gives orders to engines.
+// An EngineClient reserves and releases memory at engines.
 type EngineClient interface {
-	// Reserve sets memory aside under a name, or renews it.
-	Reserve(ctx context.Context, address, name string, tokens int, hold time.Duration) error
-	// Release gives it back.
+	// Reserve reserves memory under a name, or renews the lease of that name.
+	Reserve(ctx context.Context, address, name string, tokens int, lease time.Duration) error
+	// Release frees the memory reserved under a name.
 	Release(ctx context.Context, address, name string) error
 }
 
-// An EngineMemory is memory at one engine.
+// An EngineMemory is an amount of memory at one engine, in tokens.
 type EngineMemory struct {
 	Address string
 	Tokens  int
 }
 
-// A Reserver sets memory aside.
+// A Reserver reserves memory at several engines at once.
 type Reserver struct {
 	prefix  string
-	orderer EngineClient
-	hold    func() time.Duration
+	engines EngineClient
+	lease   func() time.Duration
 	log     zerolog.Logger
-	ids     atomic.Uint64
+	nextID  atomic.Uint64
 }
 
-// New returns a Reserver. Its names begin with prefix, which no other process
-// uses; hold is how long a lease lasts unless it is renewed.
-func New(prefix string, o EngineClient, hold func() time.Duration, log zerolog.Logger) *Reserver {
-	return &Reserver{prefix: prefix, orderer: o, hold: hold, log: log}
+// New returns a Reserver. The names of its leases begin with prefix, which must be
+// unique to this process; lease returns how long a lease lasts unless it is renewed.
+func New(prefix string, engines EngineClient, lease func() time.Duration, log zerolog.Logger) *Reserver {
+	return &Reserver{prefix: prefix, engines: engines, lease: lease, log: log}
 }
 
-// A Reservation is memory set aside for one request.
+// A Reservation is the memory reserved for one request.
 type Reservation struct {
-	// Names are those of the parts, in their order.
-	Names    []string
-	reserver *Reserver
-	parts    []EngineMemory
-	stop     context.CancelFunc
-	once     sync.Once
+	// Names are the names of the leases, in the order of the parts.
+	Names       []string
+	reserver    *Reserver
+	parts       []EngineMemory
+	stopRenewal context.CancelFunc
+	once        sync.Once
 }
 
-// Reserve sets all parts aside, or none.
+// Reserve reserves all parts, or none.
 func (r *Reserver) Reserve(ctx context.Context, request string, parts []EngineMemory) (*Reservation, error) {
-	h := &Reservation{reserver: r, parts: parts}
+	res := &Reservation{reserver: r, parts: parts}
 	for range parts {
-		h.Names = append(h.Names, r.prefix+strconv.FormatUint(r.ids.Add(1), 36))
+		res.Names = append(res.Names, r.prefix+strconv.FormatUint(r.nextID.Add(1), 36))
 	}
 	errors := make([]error, len(parts))
-	var all sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, p := range parts {
-		all.Go(func() { errors[i] = r.reserve(ctx, p, h.Names[i]) })
+		calls.Go(func() { errors[i] = r.reserve(ctx, p, res.Names[i]) })
 	}
-	all.Wait()
+	calls.Wait()
 	if err := errs.Combine(errors...); err != nil {
-		r.log.Info().Str("id", request).Int("parts", len(parts)).Err(err).Msg("no memory set aside")
-		// One that brought no answer may have been carried out.
-		go h.giveBack()
+		r.log.Info().Str("id", request).Int("parts", len(parts)).Err(err).Msg("memory reservation failed")
+		// A call that got no reply may have taken effect at the engine.
+		go res.releaseAll()
 		return nil, Error.Wrap(err)
 	}
-	keep, stop := context.WithCancel(context.WithoutCancel(ctx))
-	h.stop = stop
-	go h.renew(keep)
-	return h, nil
+	renewal, stop := context.WithCancel(context.WithoutCancel(ctx))
+	res.stopRenewal = stop
+	go res.renew(renewal)
+	return res, nil
 }
 
 func (r *Reserver) reserve(ctx context.Context, p EngineMemory, name string) error {
-	short, cancel := context.WithTimeout(ctx, answerTime)
+	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return r.orderer.Reserve(short, p.Address, name, p.Tokens, r.hold())
+	return r.engines.Reserve(limited, p.Address, name, p.Tokens, r.lease())
 }
 
-// renew keeps the leases until the holding is released.
-func (h *Reservation) renew(ctx context.Context) {
-	t := time.NewTicker(h.reserver.hold() / renewals)
+// renew renews the leases until ctx is cancelled.
+func (res *Reservation) renew(ctx context.Context) {
+	t := time.NewTicker(res.reserver.lease() / renewalsPerLease)
 	defer t.Stop()
 	for {
 		select {
@@ -110,37 +110,38 @@
 			return
 		case <-t.C:
 		}
-		for i, p := range h.parts {
-			if err := h.reserver.reserve(ctx, p, h.Names[i]); err != nil && ctx.Err() == nil {
-				h.reserver.log.Warn().Str("upstream", p.Address).Str("memory", h.Names[i]).Err(err).Msg("memory not renewed")
+		for i, p := range res.parts {
+			if err := res.reserver.reserve(ctx, p, res.Names[i]); err != nil && ctx.Err() == nil {
+				res.reserver.log.Warn().Str("upstream", p.Address).Str("memory", res.Names[i]).Err(err).Msg("memory lease renewal failed")
 			}
 		}
 	}
 }
 
-// Release gives all parts back. It does not wait for the engines.
-func (h *Reservation) Release() {
-	h.once.Do(func() {
-		h.stop()
-		go h.giveBack()
+// Release stops the renewal and releases all parts in the background. It may be
+// called more than once.
+func (res *Reservation) Release() {
+	res.once.Do(func() {
+		res.stopRenewal()
+		go res.releaseAll()
 	})
 }
 
-func (h *Reservation) giveBack() {
-	for i, p := range h.parts {
-		h.reserver.release(p, h.Names[i])
+func (res *Reservation) releaseAll() {
+	for i, p := range res.parts {
+		res.reserver.release(p, res.Names[i])
 	}
 }
 
 func (r *Reserver) release(p EngineMemory, name string) {
 	var err error
-	for range releases {
-		ctx, cancel := context.WithTimeout(context.Background(), answerTime)
-		err = r.orderer.Release(ctx, p.Address, name)
+	for range releaseAttempts {
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+		err = r.engines.Release(ctx, p.Address, name)
 		cancel()
 		if err == nil {
 			return
 		}
 	}
-	r.log.Warn().Str("upstream", p.Address).Str("memory", name).Err(err).Msg("memory not released; its lease will end")
+	r.log.Warn().Str("upstream", p.Address).Str("memory", name).Err(err).Msg("memory release failed; the lease will expire")
 }
--- a/entry/process/reserver/reserver_test.go
+++ b/entry/process/reserver/reserver_test.go
@@ -18,95 +18,95 @@
 
 var errFull = errors.New("full")
 
-// engines keep memory for as long as its lease lasts, and can be full, or lose
-// the answer to an order that they carried out.
-type engines struct {
+// fakeEngines hold memory until its lease expires. The engine at address full
+// refuses reservations; the one at noReply makes them, but its replies are lost.
+type fakeEngines struct {
 	mu       sync.Mutex
-	held     map[string]time.Time
+	leases   map[string]time.Time
 	full     string
-	mute     string
-	orders   int
+	noReply  string
+	calls    int
 	released []string
 }
 
-func (e *engines) Reserve(_ context.Context, address, name string, _ int, hold time.Duration) error {
+func (e *fakeEngines) Reserve(_ context.Context, address, name string, _ int, lease time.Duration) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.orders++
+	e.calls++
 	if address == e.full {
 		return errFull
 	}
-	e.held[name] = time.Now().Add(hold)
-	if address == e.mute {
+	e.leases[name] = time.Now().Add(lease)
+	if address == e.noReply {
 		return context.DeadlineExceeded
 	}
 	return nil
 }
 
-func (e *engines) Release(_ context.Context, _, name string) error {
+func (e *fakeEngines) Release(_ context.Context, _, name string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.held, name)
+	delete(e.leases, name)
 	e.released = append(e.released, name)
 	return nil
 }
 
-func (e *engines) count() int {
+func (e *fakeEngines) liveLeases() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
-	for _, until := range e.held {
-		if time.Now().Before(until) {
+	for _, expiry := range e.leases {
+		if time.Now().Before(expiry) {
 			n++
 		}
 	}
 	return n
 }
 
-func (e *engines) isEmpty(t *testing.T) {
+func (e *fakeEngines) waitUntilEmpty(t *testing.T) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if e.count() == 0 {
+		if e.liveLeases() == 0 {
 			return poll.Success()
 		}
-		return poll.Continue("memory is held")
+		return poll.Continue("memory is still reserved")
 	})
 }
 
 var parts = []reserver.EngineMemory{{Address: "a", Tokens: 10}, {Address: "b", Tokens: 20}}
 
-func start(e *engines, hold time.Duration) *reserver.Reserver {
-	return reserver.New("me-", e, func() time.Duration { return hold }, zerolog.Nop())
+func newReserver(e *fakeEngines, lease time.Duration) *reserver.Reserver {
+	return reserver.New("me-", e, func() time.Duration { return lease }, zerolog.Nop())
 }
 
-// A request lasts longer than the lease of its memory. If it were not renewed
-// the engine would cut the request off in the middle.
+// A request may outlast the lease of its memory. If the lease were not renewed, the
+// engine would abort the request.
 func TestMemoryIsKeptUntilReleased(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	e := &engines{held: map[string]time.Time{}}
-	h, err := start(e, 150*time.Millisecond).Reserve(t.Context(), "r", parts)
+	e := &fakeEngines{leases: map[string]time.Time{}}
+	res, err := newReserver(e, 150*time.Millisecond).Reserve(t.Context(), "r", parts)
 	assert.NilError(t, err)
-	assert.Equal(t, len(slices.Compact(slices.Clone(h.Names))), 2)
+	assert.Equal(t, len(slices.Compact(slices.Clone(res.Names))), 2)
 	for range 8 {
 		time.Sleep(50 * time.Millisecond)
-		assert.Equal(t, e.count(), 2)
+		assert.Equal(t, e.liveLeases(), 2)
 	}
-	h.Release()
-	h.Release()
-	e.isEmpty(t)
+	res.Release()
+	res.Release()
+	e.waitUntilEmpty(t)
 	time.Sleep(200 * time.Millisecond)
-	assert.Equal(t, e.count(), 0, "nothing is renewed after its release")
+	assert.Equal(t, e.liveLeases(), 0, "a lease was renewed after its release")
 }
 
-// One engine has no memory, or carries the order out and its answer is lost.
-// What was set aside must go back at all of them.
+// One engine is full, or makes the reservation but its reply is lost. The memory
+// must be released at all engines.
 func TestFailedReservationLeavesNothing(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	for _, e := range []*engines{{full: "b"}, {mute: "b"}} {
-		e.held = map[string]time.Time{}
-		_, err := start(e, time.Minute).Reserve(t.Context(), "r", parts)
+	for _, e := range []*fakeEngines{{full: "b"}, {noReply: "b"}} {
+		e.leases = map[string]time.Time{}
+		_, err := newReserver(e, time.Minute).Reserve(t.Context(), "r", parts)
 		assert.Assert(t, err != nil)
-		e.isEmpty(t)
+		e.waitUntilEmpty(t)
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
 			e.mu.Lock()
 			defer e.mu.Unlock()
@@ -118,16 +118,16 @@
 	}
 }
 
-// A caller leaves. Its engines may still be at work, and their memory must not
-// go to somebody else before they have stopped: only the release ends it.
+// A caller disconnects while its engines may still be running the request. Their
+// memory must not go to another request until Release.
 func TestMemoryOutlivesItsCaller(t *testing.T) {
-	e := &engines{held: map[string]time.Time{}}
-	ctx, leave := context.WithCancel(t.Context())
-	h, err := start(e, 200*time.Millisecond).Reserve(ctx, "r", parts)
+	e := &fakeEngines{leases: map[string]time.Time{}}
+	ctx, disconnect := context.WithCancel(t.Context())
+	res, err := newReserver(e, 200*time.Millisecond).Reserve(ctx, "r", parts)
 	assert.NilError(t, err)
-	leave()
+	disconnect()
 	time.Sleep(300 * time.Millisecond)
-	assert.Equal(t, e.count(), 2)
-	h.Release()
-	e.isEmpty(t)
+	assert.Equal(t, e.liveLeases(), 2)
+	res.Release()
+	e.waitUntilEmpty(t)
 }
