--- a/entry/process/orderer/fleet_test.go
+++ b/entry/process/orderer/fleet_test.go
@@ -14,126 +14,126 @@
 const (
 	vms     = 3
 	engines = 8
-	// spread is the longest time until all VMs have a manifest, lag by how much
-	// reports are late.
-	spread = 8 * time.Second
-	lag    = time.Second
+	// maxManifestDelay is the longest time until all VMs have read a manifest.
+	maxManifestDelay = 8 * time.Second
+	// reportLag is by how much reports are late.
+	reportLag = time.Second
 )
 
-// shown is what an engine serves from a time on.
-type shown struct {
-	at      time.Time
+// servedVersion is the version that an engine serves from a time on.
+type servedVersion struct {
+	from    time.Time
 	version string
 }
 
-// engine is one engine of the world.
+// engine simulates an engine.
 type engine struct {
-	name    string
-	pool    string
-	fencing bool
-	shown   []shown
-	next    string
-	ready   time.Time // of the load; zero while none
-	seen    uint64    // the highest fence
-	down    time.Time // until when
-	holder  int
-	fence   uint64
-	from    time.Time // when the claim takes effect
+	name         string
+	pool         string
+	fencing      bool // it refuses orders with a lower fence than it has seen
+	served       []servedVersion
+	loading      string    // the version that it loads
+	loadedAt     time.Time // when the load ends; zero while there is none
+	highestFence uint64    // the highest fence that it has seen
+	downUntil    time.Time
+	holder       int
+	fence        uint64
+	heldFrom     time.Time // when the holder's claim takes effect
 }
 
-// vm is one VM of the world.
+// vm simulates a VM.
 type vm struct {
-	orderer *orderer.Orderer
-	version string
-	frozen  time.Time     // until when
-	freeze  time.Duration // for how long, once it has decided an order
-	pending []orderer.Order
+	orderer     *orderer.Orderer
+	version     string
+	frozenUntil time.Time
+	freezeFor   time.Duration // for how long it freezes once it has decided an order
+	pending     []orderer.Order
 }
 
-// world is a fleet without a network.
+// world simulates a fleet without a network.
 type world struct {
-	t       *rapid.T
-	now     time.Time
-	engines []*engine
-	vms     []*vm
-	version int
-	reach   map[int]time.Time // when a VM reads the manifest
-	lose    int
-	loads   int
-	fences  uint64
+	t           *rapid.T
+	now         time.Time
+	engines     []*engine
+	vms         []*vm
+	version     int
+	manifestAt  map[int]time.Time // when each VM reads the manifest
+	lostReplies int               // how many of the next replies are lost
+	maxLoads    int
+	lastFence   uint64
 }
 
 func newWorld(t *rapid.T) *world {
-	w := &world{t: t, now: epoch, version: 1, reach: make(map[int]time.Time)}
-	w.loads = rapid.IntRange(1, 2).Draw(t, "loads")
+	w := &world{t: t, now: epoch, version: 1, manifestAt: make(map[int]time.Time)}
+	w.maxLoads = rapid.IntRange(1, 2).Draw(t, "loads")
 	for i := range engines {
-		w.fences++
+		w.lastFence++
 		w.engines = append(w.engines, &engine{
 			name: fmt.Sprintf("e%d", i), pool: []string{"m", "n"}[i/5], fencing: i%2 == 0,
-			shown: []shown{{epoch, "1"}}, holder: i % vms, fence: w.fences,
+			served: []servedVersion{{epoch, "1"}}, holder: i % vms, fence: w.lastFence,
 		})
 	}
 	for range vms {
 		c := config()
-		c.MaxLoads = w.loads
+		c.MaxLoads = w.maxLoads
 		w.vms = append(w.vms, &vm{orderer: orderer.New(c), version: "1"})
 	}
 	return w
 }
 
-func (e *engine) at(t time.Time) string {
-	v := e.shown[0].version
-	for _, s := range e.shown {
-		if !s.at.After(t) {
+func (e *engine) versionAt(t time.Time) string {
+	v := e.served[0].version
+	for _, s := range e.served {
+		if !s.from.After(t) {
 			v = s.version
 		}
 	}
 	return v
 }
 
-func (e *engine) holds(v int, now time.Time) bool { return e.holder == v && !now.Before(e.from) }
+func (e *engine) holds(v int, now time.Time) bool { return e.holder == v && !now.Before(e.heldFrom) }
 
-// pass lets a step of time pass for engines and VMs, and checks the promises.
-func (w *world) pass() {
+// advance advances the engines and VMs by one step and checks the invariants.
+func (w *world) advance() {
 	w.now = w.now.Add(step)
 	for _, e := range w.engines {
-		if !e.ready.IsZero() && !w.now.Before(e.ready) {
-			e.shown, e.ready = append(e.shown, shown{w.now, e.next}), time.Time{}
+		if !e.loadedAt.IsZero() && !w.now.Before(e.loadedAt) {
+			e.served, e.loadedAt = append(e.served, servedVersion{w.now, e.loading}), time.Time{}
 		}
 	}
 	for i, v := range w.vms {
-		if w.now.Before(v.frozen) {
+		if w.now.Before(v.frozenUntil) {
 			continue
 		}
-		if at, ok := w.reach[i]; ok && !w.now.Before(at) {
+		if at, ok := w.manifestAt[i]; ok && !w.now.Before(at) {
 			v.version = fmt.Sprint(w.version)
 		}
-		// What a VM decided before it froze is what it sends when it wakes.
+		// A VM that was frozen sends the orders that it decided before.
 		if v.pending == nil {
-			v.pending = v.orderer.Tick(w.now, w.facts(i, v))
+			v.pending = v.orderer.Tick(w.now, w.observe(i, v))
 		}
-		if v.freeze > 0 && len(v.pending) > 0 {
+		if v.freezeFor > 0 && len(v.pending) > 0 {
 			w.freeze(i)
 			continue
 		}
 		w.send(i, v)
 	}
-	w.check()
+	w.checkBounds()
 }
 
-func (w *world) facts(i int, v *vm) []orderer.Observation {
-	var facts []orderer.Observation
+func (w *world) observe(i int, v *vm) []orderer.Observation {
+	var observations []orderer.Observation
 	for _, e := range w.engines {
-		f := orderer.Observation{
+		o := orderer.Observation{
 			Engine:        orderer.Engine{Name: e.name, Model: e.pool, Version: v.version, MaxLoadTime: load},
-			ReportedModel: e.pool, ReportedVersion: e.at(w.now.Add(-lag)), Held: e.holds(i, w.now), Fence: e.fence,
+			ReportedModel: e.pool, ReportedVersion: e.versionAt(w.now.Add(-reportLag)), Held: e.holds(i, w.now), Fence: e.fence,
 		}
-		if !w.now.Before(e.down) {
-			f.ReadAt = w.now
+		if !w.now.Before(e.downUntil) {
+			o.ReadAt = w.now
 		}
-		facts = append(facts, f)
+		observations = append(observations, o)
 	}
-	return facts
+	return observations
 }
 
 func (w *world) send(i int, v *vm) {
@@ -143,48 +143,48 @@
 			v.orderer.RecordOutcome(o, orderer.Refused)
 			continue
 		}
-		assert.Assert(w.t, e.holds(i, w.now) && o.Fence == e.fence, "%s is ordered under a fence not in force", e.name)
-		v.orderer.RecordOutcome(o, w.take(e, o))
+		assert.Assert(w.t, e.holds(i, w.now) && o.Fence == e.fence, "%s is ordered under a fence that is not in force", e.name)
+		v.orderer.RecordOutcome(o, w.deliver(e, o))
 	}
 	v.pending = nil
 }
 
-// take is the engine's side of an order.
-func (w *world) take(e *engine, o orderer.Order) orderer.Outcome {
-	if w.now.Before(e.down) {
+// deliver simulates how an engine handles an order.
+func (w *world) deliver(e *engine, o orderer.Order) orderer.Outcome {
+	if w.now.Before(e.downUntil) {
 		return orderer.Lost
 	}
-	if e.fencing && o.Fence < e.seen {
+	if e.fencing && o.Fence < e.highestFence {
 		return orderer.Fenced
 	}
-	e.seen, e.next, e.ready = max(e.seen, o.Fence), o.Version, w.now.Add(load)
-	if w.lose > 0 {
-		w.lose--
+	e.highestFence, e.loading, e.loadedAt = max(e.highestFence, o.Fence), o.Version, w.now.Add(load)
+	if w.lostReplies > 0 {
+		w.lostReplies--
 		return orderer.Lost
 	}
 	return orderer.Accepted
 }
 
-func (w *world) check() {
-	all, pools, sizes := 0, map[string]int{}, map[string]int{}
+func (w *world) checkBounds() {
+	all, loadsInPool, poolSizes := 0, map[string]int{}, map[string]int{}
 	for _, e := range w.engines {
-		sizes[e.pool]++
-		if !e.ready.IsZero() {
+		poolSizes[e.pool]++
+		if !e.loadedAt.IsZero() {
 			all++
-			pools[e.pool]++
+			loadsInPool[e.pool]++
 		}
 	}
-	assert.Assert(w.t, all <= w.loads, "%d engines load at once", all)
-	for pool, n := range pools {
-		assert.Assert(w.t, n <= orderer.Out(sizes[pool]), "%d engines of %s load at once", n, pool)
+	assert.Assert(w.t, all <= w.maxLoads, "%d engines load at once", all)
+	for pool, n := range loadsInPool {
+		assert.Assert(w.t, n <= orderer.MaxUnavailable(poolSizes[pool]), "%d engines of %s load at once", n, pool)
 	}
 }
 
-// settled says whether all engines serve what was published and nothing is
-// under way that could change it.
-func (w *world) settled() bool {
+// converged reports whether all engines serve the published version and none is
+// loading.
+func (w *world) converged() bool {
 	for _, e := range w.engines {
-		if e.at(w.now) != fmt.Sprint(w.version) || !e.ready.IsZero() {
+		if e.versionAt(w.now) != fmt.Sprint(w.version) || !e.loadedAt.IsZero() {
 			return false
 		}
 	}
@@ -192,49 +192,49 @@
 }
 
 func (w *world) publish() {
-	// One publish follows another only once all VMs have read the first.
-	for _, at := range w.reach {
+	// A manifest is published only once all VMs have read the one before.
+	for _, at := range w.manifestAt {
 		if w.now.Before(at) {
 			return
 		}
 	}
 	w.version++
 	for i := range vms {
-		w.reach[i] = w.now.Add(time.Duration(rapid.IntRange(0, int(spread/step)).Draw(w.t, "spread")) * step)
+		w.manifestAt[i] = w.now.Add(time.Duration(rapid.IntRange(0, int(maxManifestDelay/step)).Draw(w.t, "spread")) * step)
 	}
 }
 
 func (w *world) kill(e *engine) {
-	e.ready, e.seen = time.Time{}, 0
-	e.down = w.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(w.t, "down")) * step)
-	e.shown = append(e.shown, shown{w.now, "1"})
+	e.loadedAt, e.highestFence = time.Time{}, 0
+	e.downUntil = w.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(w.t, "down")) * step)
+	e.served = append(e.served, servedVersion{w.now, "1"})
 }
 
-// claim gives an engine to another VM, whose claim takes effect a lease and a
-// loan's life later.
+// claim gives an engine to another VM. The claim takes effect after a lease and the
+// lifetime of a loan.
 func (w *world) claim(e *engine) {
-	w.fences++
-	e.holder, e.fence, e.from = (e.holder+1)%vms, w.fences, w.now.Add(2*lease)
+	w.lastFence++
+	e.holder, e.fence, e.heldFrom = (e.holder+1)%vms, w.lastFence, w.now.Add(2*lease)
 }
 
-// freeze stops a VM that has decided orders and not sent them. The others
-// replace its claims once its lease is over.
+// freeze stops a VM that has decided orders and not sent them. Other VMs take over
+// its engines if it is frozen for longer than its lease.
 func (w *world) freeze(i int) {
 	v := w.vms[i]
-	v.frozen = w.now.Add(v.freeze)
+	v.frozenUntil = w.now.Add(v.freezeFor)
 	for _, e := range w.engines {
-		if e.holder == i && v.freeze > lease {
+		if e.holder == i && v.freezeFor > lease {
 			w.claim(e)
 		}
 	}
-	v.freeze = 0
+	v.freezeFor = 0
 }
 
-// Engines are killed and come back on their first version, holders change and
-// freeze with orders in hand, answers are lost, and manifests follow one
-// another. Were more engines to load at once than the bound, all loads would
-// crawl at the weight store's rate and the pool would have no engines left;
-// were one forgotten, its callers would get an old model's answers.
+// Engines are killed and restart on their first version, holders change or freeze
+// with unsent orders, replies are lost, and manifests follow one another. If more
+// engines loaded at once than the bounds allow, the rate limit of the weight store
+// would slow all loads down and the pool would have no engines left. If an engine
+// were missed, its callers would get answers from an old model.
 func TestFleetKeepsItsBoundsAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -248,21 +248,21 @@
 			case "claim":
 				w.claim(e)
 			case "freeze":
-				w.vms[e.holder].freeze = time.Duration(rapid.IntRange(1, 60).Draw(t, "frozen")) * step
+				w.vms[e.holder].freezeFor = time.Duration(rapid.IntRange(1, 60).Draw(t, "frozen")) * step
 			case "lose":
-				w.lose++
+				w.lostReplies++
 			}
 			for range rapid.IntRange(0, 60).Draw(t, "steps") {
-				w.pass()
+				w.advance()
 			}
 		}
-		// After the last fault each engine has its turn within its wait.
-		const enough = 20 * 60
-		for i := 0; i < enough && !w.settled(); i++ {
-			w.pass()
+		// After the last fault each engine is ordered within its wait.
+		const maxSteps = 20 * 60
+		for i := 0; i < maxSteps && !w.converged(); i++ {
+			w.advance()
 		}
 		for _, e := range w.engines {
-			assert.Equal(t, e.at(w.now), fmt.Sprint(w.version), "%s", e.name)
+			assert.Equal(t, e.versionAt(w.now), fmt.Sprint(w.version), "%s", e.name)
 		}
 	})
 }
--- a/entry/process/orderer/orderer.go
+++ b/entry/process/orderer/orderer.go
@@ -1,17 +1,19 @@
-// Package orderer decides which engines are told to load the version of their
-// model that the manifest names, and when. It answers a change of version over
-// a whole fleet: without it all engines load at once, so that nothing is
-// served meanwhile and the weight store, which is rate-limited, keeps all of
-// them waiting; or an order of a holder that was replaced undoes a newer one.
+// Package orderer decides which engines are ordered to load the model version that
+// the manifest names, and when. It handles a version change across the whole fleet.
+// Without it all engines would load at once, so that none would serve requests and
+// the rate-limited weight store would slow every load down; or a late order from a
+// replaced holder would undo a newer one.
 //
-// Engines have an order, that of their names, which is the same on every VM.
-// One has its turn while fewer than the bound of those before it show another
-// version than they should. Nobody counts loads, so no count can be lost: the
-// bound rests on reports alone, and on an engine having been seen to be wrong
-// for its settling time before it is ordered. In that time whatever was
-// ordered under an older picture has ended. docs/DESIGN.md has the proof.
+// Engines are considered in the order of their names, which is the same on every
+// VM. An engine may load while fewer engines before it than the bounds allow report
+// another version than the manifest's, or report nothing. Loads are not counted, so
+// no count can be lost: the bounds rest on reports alone, and on an engine having
+// been seen outdated for its settle time before it is ordered. Within that time any
+// load that was ordered under an older view of the fleet has ended.
+// docs/DESIGN.md has the proof.
 //
-// The package has no network; the time and what was read are arguments.
+// The package does no network I/O and reads no clock; the time and the observations
+// are arguments.
 package orderer
 
 import (
@@ -19,195 +21,198 @@
 )
 
 const (
-	// margin is by how much the settling time exceeds the longest load: a
-	// manifest reaches all VMs within 8 s, a report is at most 2 s old when
-	// read and 2 s when used, and an order arrives within 2 s.
-	margin = 14 * time.Second
-	// fresh is how old a reading may be when something is decided by it. A VM
-	// that was frozen wakes with readings that no longer say anything.
-	fresh = 2 * time.Second
-	// quiet is how long an engine must have shown no work before it is
-	// ordered: its report lags, and work may be under way to it.
-	quiet = 2 * time.Second
-	// sending is how old an order may be when it is sent.
-	sending = time.Second
-	// poolPart is the part of a pool's engines that may be out at once: one in
-	// four leaves three quarters of the places, which peaks below 75% of a
-	// pool's load do not notice. A pool of fewer has one out at a time.
-	poolPart = 4
-	// mostDoublings bounds the wait between orders to one engine, at 16 times
-	// its settling time.
-	mostDoublings = 4
+	// settleMargin is by how much the settle time exceeds the longest load: a
+	// manifest reaches all VMs within 8 s, a report is at most 2 s old when read
+	// and 2 s when used, and an order arrives within 2 s.
+	settleMargin = 14 * time.Second
+	// maxReportAge is how old a report may be for a decision that is based on it. A
+	// VM that was frozen resumes with reports that no longer hold.
+	maxReportAge = 2 * time.Second
+	// minIdle is how long an engine must have reported no requests before it is
+	// ordered: its reports lag, and a request may be on its way to it.
+	minIdle = 2 * time.Second
+	// maxOrderAge is how old an order may be when it is sent.
+	maxOrderAge = time.Second
+	// unavailableDivisor sets the share of a pool's engines that may be unavailable
+	// at once. One in four leaves three quarters of the capacity, which is enough
+	// for peaks below 75% of the pool's full load. In a pool of fewer engines, one
+	// may be unavailable at a time.
+	unavailableDivisor = 4
+	// maxBackoffDoublings bounds the wait between orders to one engine, at 16 times
+	// its settle time.
+	maxBackoffDoublings = 4
 )
 
-// A Config is what bounds orders.
+// A Config holds the limits on orders.
 type Config struct {
 	// MaxLoads is how many engines may load at once over the whole fleet.
 	MaxLoads int
-	// Lease is how long a holder may go on without knowing of its successor.
+	// Lease is how long a replaced holder may continue before it learns of its
+	// successor.
 	Lease time.Duration
-	// DrainTimeout is how long work on an engine may last at most. After that the
-	// engine is ordered whatever it reports.
+	// DrainTimeout is the longest time that requests on an engine may take. After
+	// that the engine is ordered whatever it reports.
 	DrainTimeout time.Duration
 }
 
-// An Engine is what the manifest says of an engine.
+// An Engine describes an engine according to the manifest.
 type Engine struct {
 	Name, Address string
-	// Model and Version are what it should serve; engines of one model are a
+	// Model and Version are what it should serve. The engines of one model form a
 	// pool.
 	Model, Version string
-	// MaxLoadTime is the longest time that loading takes.
+	// MaxLoadTime is the longest time that a load takes.
 	MaxLoadTime time.Duration
 }
 
-// settling is how long it takes until nothing loads any more that was ordered
-// under an older picture, and all can see what came of it.
-func (e Engine) settling() time.Duration { return e.MaxLoadTime + margin }
+// settleTime is how long it takes until no load that was ordered under an older
+// view of the fleet is running any more and all VMs can see its result.
+func (e Engine) settleTime() time.Duration { return e.MaxLoadTime + settleMargin }
 
-// An Observation is what is known of an engine at a tick.
+// An Observation is what is known about an engine at a tick.
 type Observation struct {
 	Engine
-	// ReadAt is when the reading of its report began; zero where it gave none.
+	// ReadAt is when reading its report began; zero if it gave no report.
 	ReadAt time.Time
-	// ReportedModel and ReportedVersion are what it reports to serve, and Work how many
-	// requests run or wait there.
+	// ReportedModel and ReportedVersion are what it reports to serve, and Requests
+	// is how many requests run or wait there.
 	ReportedModel, ReportedVersion string
 	Requests                       int
-	// Held says that this process holds it, under Fence.
+	// Held reports whether this process holds it, under the fencing token Fence.
 	Held  bool
 	Fence uint64
 }
 
-func (f Observation) known(now time.Time) bool {
-	return !f.ReadAt.IsZero() && now.Sub(f.ReadAt) <= fresh
+func (o Observation) isRecent(now time.Time) bool {
+	return !o.ReadAt.IsZero() && now.Sub(o.ReadAt) <= maxReportAge
 }
 
-func (f Observation) right() bool {
-	return f.ReportedModel == f.Model && f.ReportedVersion == f.Version
+func (o Observation) isUpToDate() bool {
+	return o.ReportedModel == o.Model && o.ReportedVersion == o.Version
 }
 
-// An Order tells an engine to load.
+// An Order instructs an engine to load its model version.
 type Order struct {
 	Engine
 	Fence uint64
-	// At is when it was decided.
-	At time.Time
+	// DecidedAt is when the order was decided.
+	DecidedAt time.Time
 }
 
-// Valid says whether an order may be sent, given the fence under which its
-// engine is held now. A process frozen since it decided wakes with an order that
-// others may have replaced: without this an engine that checks no fences would
-// load an old version after the newer one.
+// Valid reports whether an order may be sent, given the fence under which its engine
+// is held now. A process that was frozen after deciding resumes with an order that
+// another VM may have superseded. Without this check an engine that ignores fences
+// would load the old version after the newer one.
 func (o Order) Valid(now time.Time, fence uint64, held bool) bool {
-	return held && fence == o.Fence && now.Sub(o.At) <= sending
+	return held && fence == o.Fence && now.Sub(o.DecidedAt) <= maxOrderAge
 }
 
-// An Outcome is how an order ended.
+// An Outcome is the result of sending an order.
 type Outcome int
 
-// The answers to orders.
+// The outcomes of orders.
 const (
-	// Accepted is an order that the engine took.
+	// Accepted means that the engine accepted the order.
 	Accepted Outcome = iota
-	// Lost is one that may have been taken.
+	// Lost means that the engine may have accepted the order.
 	Lost
-	// Refused is one that the engine did not take.
+	// Refused means that the engine did not accept the order.
 	Refused
-	// Fenced is one that the engine did not take because it has seen a higher
-	// fence: another process holds it.
+	// Fenced means that the engine did not accept the order because it has seen a
+	// higher fence: another process holds it.
 	Fenced
 )
 
-// An Orderer is one process's part. It is not safe for concurrent use.
+// An Orderer makes the decisions of one process. It is not safe for concurrent use.
 type Orderer struct {
-	config Config
-	states map[string]*state
-	turns  []string
+	config   Config
+	states   map[string]*engineState
+	draining []string
 }
 
-// state is what an Orderer remembers of one engine.
-type state struct {
+// engineState is what an Orderer remembers about one engine.
+type engineState struct {
 	model, version string
-	wrong          time.Time // since when it has been seen to be wrong
-	idle           time.Time // since when it has shown no work
-	turn           time.Time // since when it has had its turn
-	held           time.Time // since when it is held under fence
+	outdatedSince  time.Time // since when it has reported another model or version
+	idleSince      time.Time // since when it has reported no requests
+	selectedSince  time.Time // since when it has been selected to load
+	heldSince      time.Time // since when it has been held under fence
 	fence          uint64
-	sent           time.Time // when the last order went out
-	tries          int
-	fenced         uint64 // the fence that the engine refused
+	lastSent       time.Time // when the last order was sent
+	attempts       int
+	refusedFence   uint64 // the highest fence that the engine refused
 }
 
-// New returns an Orderer that has seen nothing.
-func New(c Config) *Orderer { return &Orderer{config: c, states: make(map[string]*state)} }
+// New returns an Orderer that has observed nothing.
+func New(c Config) *Orderer { return &Orderer{config: c, states: make(map[string]*engineState)} }
 
-// Configure changes the bounds.
+// Configure replaces the limits.
 func (r *Orderer) Configure(c Config) { r.config = c }
 
-// Tick takes in what is known of all engines, by name in order, and returns the
-// orders to be sent at once. Facts may end early, after as many engines that
-// are wrong or unknown as may load at once.
-func (r *Orderer) Tick(now time.Time, facts []Observation) []Order {
-	r.forget(facts)
-	sizes := make(map[string]int)
-	for _, f := range facts {
-		sizes[f.Model]++
+// Tick records observations of all engines, sorted by name, and returns the orders
+// to be sent at once. The observations may end early, after as many outdated or
+// unknown engines as may load at once.
+func (r *Orderer) Tick(now time.Time, observations []Observation) []Order {
+	r.forget(observations)
+	poolSizes := make(map[string]int)
+	for _, o := range observations {
+		poolSizes[o.Model]++
 	}
-	behind, pools := 0, make(map[string]int)
+	pending, pendingInPool := 0, make(map[string]int)
 	var orders []Order
-	r.turns = r.turns[:0]
-	for _, f := range facts {
-		s := r.states[f.Name]
+	r.draining = r.draining[:0]
+	for _, o := range observations {
+		s := r.states[o.Name]
 		if s == nil {
-			s = &state{}
-			r.states[f.Name] = s
+			s = &engineState{}
+			r.states[o.Name] = s
 		}
-		s.see(now, f)
-		if f.known(now) && f.right() {
+		s.observe(now, o)
+		if o.isRecent(now) && o.isUpToDate() {
 			continue
 		}
-		turn := behind < r.config.MaxLoads && pools[f.Model] < Out(sizes[f.Model])
-		behind++
-		pools[f.Model]++
-		if !s.settled(now, f, turn) {
+		eligible := pending < r.config.MaxLoads && pendingInPool[o.Model] < MaxUnavailable(poolSizes[o.Model])
+		pending++
+		pendingInPool[o.Model]++
+		if !s.selectToLoad(now, o, eligible) {
 			continue
 		}
-		if sizes[f.Model] > 1 && now.Sub(s.turn) < r.config.DrainTimeout+2*f.settling() {
-			r.turns = append(r.turns, f.Name)
+		if poolSizes[o.Model] > 1 && now.Sub(s.selectedSince) < r.config.DrainTimeout+2*o.settleTime() {
+			r.draining = append(r.draining, o.Name)
 		}
-		if r.due(now, f, s) {
-			s.sent = now
-			s.tries++
-			orders = append(orders, Order{Engine: f.Engine, Fence: f.Fence, At: now})
+		if r.due(now, o, s) {
+			s.lastSent = now
+			s.attempts++
+			orders = append(orders, Order{Engine: o.Engine, Fence: o.Fence, DecidedAt: now})
 		}
 	}
 	return orders
 }
 
-// Out is how many of a pool's engines may be out at once.
-func Out(engines int) int { return max(1, engines/poolPart) }
+// MaxUnavailable returns how many engines of a pool may be unavailable at once.
+func MaxUnavailable(engines int) int { return max(1, engines/unavailableDivisor) }
 
-// Draining are the engines that get no new work, because they are to load or load
-// now. Every VM finds the same ones, so that an engine's work ends. The only
-// engine of a pool is not among them: it serves until it loads. Nor is one that
-// still shows its old version after its work must have ended and it was ordered: it
-// takes no orders, and would serve nothing for ever.
-func (r *Orderer) Draining() []string { return r.turns }
+// Draining returns the engines that get no new requests because they are about to
+// load or are loading. All VMs find the same engines, so that an engine's requests
+// run out. The only engine of a pool is not among them: it serves until it loads.
+// Neither is an engine that still reports its old version after its requests must
+// have ended and it was ordered: it accepts no orders, and would never serve again.
+func (r *Orderer) Draining() []string { return r.draining }
 
-// RecordOutcome takes in how an order ended. An engine that refused a fence has seen
-// another holder's, so that nothing more is sent under it.
-func (r *Orderer) RecordOutcome(o Order, a Outcome) {
+// RecordOutcome records the outcome of an order. An engine that refused a fence has
+// seen that of another holder, so no more orders are sent under it.
+func (r *Orderer) RecordOutcome(o Order, outcome Outcome) {
 	s := r.states[o.Name]
-	if s != nil && a == Fenced {
-		s.fenced = max(s.fenced, o.Fence)
+	if s != nil && outcome == Fenced {
+		s.refusedFence = max(s.refusedFence, o.Fence)
 	}
 }
 
-func (r *Orderer) forget(facts []Observation) {
-	names := make(map[string]bool, len(facts))
-	for _, f := range facts {
-		names[f.Name] = true
+// forget drops the state of engines that are not observed any more.
+func (r *Orderer) forget(observations []Observation) {
+	names := make(map[string]bool, len(observations))
+	for _, o := range observations {
+		names[o.Name] = true
 	}
 	for name := range r.states {
 		if !names[name] {
@@ -216,66 +221,66 @@
 	}
 }
 
-// see takes in one engine's fact.
-func (s *state) see(now time.Time, f Observation) {
-	if s.model != f.Model || s.version != f.Version {
-		*s = state{model: f.Model, version: f.Version, held: s.held, fence: s.fence, fenced: s.fenced}
+// observe updates the state with an observation of its engine.
+func (s *engineState) observe(now time.Time, o Observation) {
+	if s.model != o.Model || s.version != o.Version {
+		*s = engineState{model: o.Model, version: o.Version, heldSince: s.heldSince, fence: s.fence, refusedFence: s.refusedFence}
 	}
 	switch {
-	case !f.Held:
-		s.held = time.Time{}
-	case s.held.IsZero() || s.fence != f.Fence:
-		s.held, s.fence = now, f.Fence
+	case !o.Held:
+		s.heldSince = time.Time{}
+	case s.heldSince.IsZero() || s.fence != o.Fence:
+		s.heldSince, s.fence = now, o.Fence
 	}
-	if !f.known(now) || f.right() {
-		s.wrong, s.idle, s.turn = time.Time{}, time.Time{}, time.Time{}
-		if f.known(now) {
-			s.sent, s.tries = time.Time{}, 0
+	if !o.isRecent(now) || o.isUpToDate() {
+		s.outdatedSince, s.idleSince, s.selectedSince = time.Time{}, time.Time{}, time.Time{}
+		if o.isRecent(now) {
+			s.lastSent, s.attempts = time.Time{}, 0
 		}
 		return
 	}
-	if s.wrong.IsZero() {
-		s.wrong = now
+	if s.outdatedSince.IsZero() {
+		s.outdatedSince = now
 	}
-	if f.Requests > 0 {
-		s.idle = time.Time{}
-	} else if s.idle.IsZero() {
-		s.idle = now
+	if o.Requests > 0 {
+		s.idleSince = time.Time{}
+	} else if s.idleSince.IsZero() {
+		s.idleSince = now
 	}
 }
 
-// settled says whether an engine that is wrong has its turn, and has been wrong
-// for long enough that whatever began to load before the others saw it has
-// loaded.
-func (s *state) settled(now time.Time, f Observation, turn bool) bool {
-	if !turn || s.wrong.IsZero() || now.Sub(s.wrong) < f.settling() {
-		s.turn = time.Time{}
+// selectToLoad reports whether an engine is selected to load, and records since
+// when. It is if it is eligible and has been outdated for its settle time, so that
+// any load that began before other VMs saw it outdated has ended.
+func (s *engineState) selectToLoad(now time.Time, o Observation, eligible bool) bool {
+	if !eligible || s.outdatedSince.IsZero() || now.Sub(s.outdatedSince) < o.settleTime() {
+		s.selectedSince = time.Time{}
 		return false
 	}
-	if s.turn.IsZero() {
-		s.turn = now
+	if s.selectedSince.IsZero() {
+		s.selectedSince = now
 	}
 	return true
 }
 
-// due says whether an engine that has its turn is to be ordered now.
-func (r *Orderer) due(now time.Time, f Observation, s *state) bool {
-	if !f.Held || f.Fence <= s.fenced {
+// due reports whether an engine that is selected to load is to be ordered now.
+func (r *Orderer) due(now time.Time, o Observation, s *engineState) bool {
+	if !o.Held || o.Fence <= s.refusedFence {
 		return false
 	}
-	// The holder before may have ordered just before its lease was over, and an
-	// engine that checks no fences would take its order after ours, too. An
-	// engine that has just loaded, and does not report it yet, would be ordered
-	// again, while the others see it as right and the next one has its turn.
-	if now.Sub(s.held) < max(f.settling(), r.config.Lease) {
+	// The previous holder may have sent an order just before its lease expired, and
+	// an engine that ignores fences would also carry it out after ours. An engine
+	// that has just loaded, and does not report it yet, would be ordered again,
+	// while other VMs see it as up to date and the next one is selected.
+	if now.Sub(s.heldSince) < max(o.settleTime(), r.config.Lease) {
 		return false
 	}
-	// An order whose answer was lost may have landed, and a second one begins
-	// the load anew: it goes only once the first would have ended, and a report
-	// read since then shows that it has not.
-	if !s.sent.IsZero() && f.ReadAt.Sub(s.sent) < f.settling()<<min(s.tries-1, mostDoublings) {
+	// An order whose reply was lost may have been accepted, and a second one
+	// restarts the load. It is sent only once the first load would have ended and
+	// a report read since then shows that it has not taken effect.
+	if !s.lastSent.IsZero() && o.ReadAt.Sub(s.lastSent) < o.settleTime()<<min(s.attempts-1, maxBackoffDoublings) {
 		return false
 	}
-	drained := !s.idle.IsZero() && now.Sub(s.idle) >= quiet
-	return drained || now.Sub(s.turn) >= r.config.DrainTimeout
+	drained := !s.idleSince.IsZero() && now.Sub(s.idleSince) >= minIdle
+	return drained || now.Sub(s.selectedSince) >= r.config.DrainTimeout
 }
--- a/entry/process/orderer/orderer_test.go
+++ b/entry/process/orderer/orderer_test.go
@@ -14,156 +14,155 @@
 	lease = 2 * time.Second
 	drain = time.Minute
 	step  = time.Second
-	// settling is long enough for any engine's settling time.
-	settling = load + 20*time.Second
+	// settleTime is at least the settle time of every engine.
+	settleTime = load + 20*time.Second
 )
 
 var epoch = time.Unix(1_000_000, 0)
 
 func config() orderer.Config { return orderer.Config{MaxLoads: 2, Lease: lease, DrainTimeout: drain} }
 
-// behind is an engine that this process holds and that shows an old version.
-func behind(name string) orderer.Observation {
+// outdated returns an engine that this process holds and that reports an old version.
+func outdated(name string) orderer.Observation {
 	return orderer.Observation{
 		Engine:        orderer.Engine{Name: name, Model: "m", Version: "2", MaxLoadTime: load},
 		ReportedModel: "m", ReportedVersion: "1", Held: true, Fence: 5,
 	}
 }
 
-// run ticks for a time with the same facts, freshly read, and returns what is
-// ordered; each order ends in the same answer.
-func run(r *orderer.Orderer, from time.Time, d time.Duration, answer orderer.Outcome, facts ...orderer.Observation) []orderer.Order {
+// run ticks for the duration d with the same observations, freshly read, and returns
+// the orders. Every order has the same outcome.
+func run(r *orderer.Orderer, from time.Time, d time.Duration, outcome orderer.Outcome, observations ...orderer.Observation) []orderer.Order {
 	var all []orderer.Order
 	for now := from; now.Before(from.Add(d)); now = now.Add(step) {
-		for i := range facts {
-			facts[i].ReadAt = now
+		for i := range observations {
+			observations[i].ReadAt = now
 		}
-		for _, o := range r.Tick(now, facts) {
-			r.RecordOutcome(o, answer)
+		for _, o := range r.Tick(now, observations) {
+			r.RecordOutcome(o, outcome)
 			all = append(all, o)
 		}
 	}
 	return all
 }
 
-func TestWhoIsOrdered(t *testing.T) {
+func TestWhichEnginesAreOrdered(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*orderer.Observation)
 		orders int
 	}{
-		"one that is behind":     {func(*orderer.Observation) {}, 1},
-		"one of another model":   {func(f *orderer.Observation) { f.ReportedModel, f.ReportedVersion = "n", "2" }, 1},
-		"one that is right":      {func(f *orderer.Observation) { f.ReportedVersion = "2" }, 0},
-		"one held by another VM": {func(f *orderer.Observation) { f.Held = false }, 0},
-		"one with work":          {func(f *orderer.Observation) { f.Requests = 1 }, 0},
+		"outdated engine":           {func(*orderer.Observation) {}, 1},
+		"engine with another model": {func(o *orderer.Observation) { o.ReportedModel, o.ReportedVersion = "n", "2" }, 1},
+		"up-to-date engine":         {func(o *orderer.Observation) { o.ReportedVersion = "2" }, 0},
+		"engine held by another VM": {func(o *orderer.Observation) { o.Held = false }, 0},
+		"engine with requests":      {func(o *orderer.Observation) { o.Requests = 1 }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := behind("e1")
-			c.change(&f)
-			assert.Equal(t, len(run(orderer.New(config()), epoch, settling, orderer.Accepted, f)), c.orders)
+			o := outdated("e1")
+			c.change(&o)
+			assert.Equal(t, len(run(orderer.New(config()), epoch, settleTime, orderer.Accepted, o)), c.orders)
 		})
 	}
 }
 
-// A request that never ends would keep an engine on its old version for ever.
-func TestEngineWithWorkIsOrderedAfterTheLongestTimeOfWork(t *testing.T) {
-	f := behind("e1")
-	f.Requests = 1
+// A request that never ends would keep an engine on its old version forever.
+func TestBusyEngineIsOrderedAfterDrainTimeout(t *testing.T) {
+	o := outdated("e1")
+	o.Requests = 1
 	r := orderer.New(config())
-	assert.Equal(t, len(run(r, epoch, drain, orderer.Accepted, f)), 0)
-	assert.Equal(t, len(run(r, epoch.Add(drain), settling, orderer.Accepted, f)), 1)
+	assert.Equal(t, len(run(r, epoch, drain, orderer.Accepted, o)), 0)
+	assert.Equal(t, len(run(r, epoch.Add(drain), settleTime, orderer.Accepted, o)), 1)
 }
 
-// The engine takes an order and its answer is lost. A second order would begin
-// the load anew: repeated every second, the engine never ends loading, and its
-// callers wait for ever.
-func TestLostAnswerIsNotRepeatedBeforeTheLoadHasEnded(t *testing.T) {
-	orders := run(orderer.New(config()), epoch, 10*time.Minute, orderer.Lost, behind("e1"))
+// The engine accepts an order and its reply is lost. A second order would restart
+// the load: if it were repeated every second, the engine would never finish loading
+// and its callers would wait forever.
+func TestLostOrderIsNotRepeatedBeforeTheLoadHasEnded(t *testing.T) {
+	orders := run(orderer.New(config()), epoch, 10*time.Minute, orderer.Lost, outdated("e1"))
 	assert.Assert(t, len(orders) > 2)
 	gap := load
 	for i, o := range orders[1:] {
-		since := o.At.Sub(orders[i].At)
-		assert.Assert(t, since >= gap, "order %d after %s", i+2, since)
+		elapsed := o.DecidedAt.Sub(orders[i].DecidedAt)
+		assert.Assert(t, elapsed >= gap, "order %d after %s", i+2, elapsed)
 		gap = min(2*gap, 16*load)
 	}
 }
 
-// Another process has taken the engine over and has ordered it. What this one
-// still sends would only be refused, and on an engine that forgot its fence it
-// would undo the newer order. So it stops until it has a claim of its own again.
+// Another process has taken the engine over and ordered it. Further orders under the
+// old fence would be refused, or, at an engine that forgot the fence it has seen,
+// would undo the newer order. The process sends none until it has a new claim.
 func TestFencedHolderStopsUntilTheClaimChanges(t *testing.T) {
-	r, f := orderer.New(config()), behind("e1")
-	assert.Equal(t, len(run(r, epoch, 10*time.Minute, orderer.Fenced, f)), 1)
-	f.Fence++
-	assert.Equal(t, len(run(r, epoch.Add(10*time.Minute), 10*time.Minute, orderer.Fenced, f)), 1)
+	r, o := orderer.New(config()), outdated("e1")
+	assert.Equal(t, len(run(r, epoch, 10*time.Minute, orderer.Fenced, o)), 1)
+	o.Fence++
+	assert.Equal(t, len(run(r, epoch.Add(10*time.Minute), 10*time.Minute, orderer.Fenced, o)), 1)
 }
 
-// An engine has just loaded for its old holder and does not report it yet. The
-// new holder, who knows nothing of that, orders it again: it loads once more,
-// while all others see it as right and order the next one, so that more load
-// than may. An engine that checks no fences would also obey what the old holder
-// still sends within its lease.
-func TestNewHolderWaitsForWhatTheOldOneOrdered(t *testing.T) {
-	r, f := orderer.New(config()), behind("e1")
-	f.Held = false
-	assert.Equal(t, len(run(r, epoch, settling, orderer.Accepted, f)), 0)
-	f.Held = true
-	orders := run(r, epoch.Add(settling), settling, orderer.Accepted, f)
+// An engine has just loaded for its previous holder and does not report it yet. If
+// the new holder ordered it again, it would load once more while the other VMs see
+// it as up to date and order the next engine, so that more engines load than
+// allowed. An engine that ignores fences would also carry out the orders that the
+// previous holder still sends within its lease.
+func TestNewHolderWaitsForLoadsOfThePreviousHolder(t *testing.T) {
+	r, o := orderer.New(config()), outdated("e1")
+	o.Held = false
+	assert.Equal(t, len(run(r, epoch, settleTime, orderer.Accepted, o)), 0)
+	o.Held = true
+	orders := run(r, epoch.Add(settleTime), settleTime, orderer.Accepted, o)
 	assert.Assert(t, len(orders) > 0)
-	since := orders[0].At.Sub(epoch.Add(settling))
-	assert.Assert(t, since >= lease && since > load, "ordered after %s", since)
+	elapsed := orders[0].DecidedAt.Sub(epoch.Add(settleTime))
+	assert.Assert(t, elapsed >= lease && elapsed > load, "ordered after %s", elapsed)
 }
 
-// A holder freezes between its decision and the sending, and another takes the
-// engine over meanwhile. When it wakes it would send an order that is long
-// replaced.
-func TestOrderDiesWithItsClaimAndWithTime(t *testing.T) {
-	o := orderer.Order{Fence: 5, At: epoch}
+// A holder is frozen between deciding and sending an order, and another VM takes the
+// engine over meanwhile. When the holder resumes it would send an outdated order.
+func TestOrderExpiresWithItsFenceAndWithTime(t *testing.T) {
+	o := orderer.Order{Fence: 5, DecidedAt: epoch}
 	assert.Assert(t, o.Valid(epoch.Add(time.Second/2), 5, true))
 	assert.Assert(t, !o.Valid(epoch, 6, true))
 	assert.Assert(t, !o.Valid(epoch, 5, false))
 	assert.Assert(t, !o.Valid(epoch.Add(time.Minute), 5, true))
 }
 
-// A VM that was frozen wakes with old readings. By them an engine is idle and
-// behind that works or is right again.
-func TestOldReadingsOrderNothing(t *testing.T) {
-	r, f := orderer.New(config()), behind("e1")
-	f.ReadAt = epoch
+// A VM that was frozen resumes with old reports. They show an engine as idle and
+// outdated that is busy or up to date by now.
+func TestOldReportsCauseNoOrders(t *testing.T) {
+	r, o := orderer.New(config()), outdated("e1")
+	o.ReadAt = epoch
 	for now := epoch; now.Before(epoch.Add(10 * time.Minute)); now = now.Add(step) {
-		assert.Equal(t, len(r.Tick(now, []orderer.Observation{f})), 0)
+		assert.Equal(t, len(r.Tick(now, []orderer.Observation{o})), 0)
 	}
 }
 
-// An engine gives no reports. It may be loading, so it counts among those that
-// load, and the next ones wait.
-func TestEnginesWithoutReportsCount(t *testing.T) {
-	facts := []orderer.Observation{behind("e1"), behind("e2"), behind("e3")}
+// An engine that gives no reports may be loading. It counts as one that loads, and
+// the next engines wait.
+func TestEnginesWithoutReportsCountAsLoading(t *testing.T) {
+	observations := []orderer.Observation{outdated("e1"), outdated("e2"), outdated("e3")}
 	r := orderer.New(config())
-	for now := epoch; now.Before(epoch.Add(settling)); now = now.Add(step) {
-		facts[0].ReadAt, facts[1].ReadAt, facts[2].ReadAt = time.Time{}, time.Time{}, now
-		assert.Equal(t, len(r.Tick(now, facts)), 0)
+	for now := epoch; now.Before(epoch.Add(settleTime)); now = now.Add(step) {
+		observations[0].ReadAt, observations[1].ReadAt, observations[2].ReadAt = time.Time{}, time.Time{}, now
+		assert.Equal(t, len(r.Tick(now, observations)), 0)
 	}
 }
 
-// An engine takes no orders, as one of an older release. Its turn never ends, and
-// without an end of another kind it would get no work ever again.
-func TestEngineThatTakesNoOrdersGetsWorkAgain(t *testing.T) {
-	r, facts := orderer.New(config()), []orderer.Observation{behind("e1"), behind("e2")}
-	run(r, epoch, settling, orderer.Refused, facts...)
+// An engine accepts no orders, for example because it runs an older release. It stays
+// selected to load, and without a time limit it would never get requests again.
+func TestEngineThatRefusesOrdersGetsRequestsAgain(t *testing.T) {
+	r, observations := orderer.New(config()), []orderer.Observation{outdated("e1"), outdated("e2")}
+	run(r, epoch, settleTime, orderer.Refused, observations...)
 	assert.DeepEqual(t, r.Draining(), []string{"e1"})
-	run(r, epoch.Add(settling), drain+2*settling, orderer.Refused, facts...)
+	run(r, epoch.Add(settleTime), drain+2*settleTime, orderer.Refused, observations...)
 	assert.Equal(t, len(r.Draining()), 0)
 }
 
-func TestTurnsLeaveTheRestOfAPool(t *testing.T) {
+func TestDrainingLeavesTheRestOfAPool(t *testing.T) {
 	for size, want := range map[int]int{1: 0, 2: 1, 4: 1, 7: 1, 8: 2, 40: 2} {
-		var facts []orderer.Observation
+		var observations []orderer.Observation
 		for i := range size {
-			facts = append(facts, behind("e"+string(rune('A'+i))))
+			observations = append(observations, outdated("e"+string(rune('A'+i))))
 		}
 		r := orderer.New(config())
-		run(r, epoch, settling, orderer.Accepted, facts...)
+		run(r, epoch, settleTime, orderer.Accepted, observations...)
 		assert.Equal(t, len(r.Draining()), want, "pool of %d", size)
 	}
 }
