--- a/entry/process/quarantiner/ledger.go
+++ b/entry/process/quarantiner/ledger.go
@@ -8,101 +8,106 @@
 )
 
 const (
-	// leastLosses is under how many lost upstreams a request is held. Requests that
-	// ran beside it lose theirs as well, but are served elsewhere afterwards.
-	leastLosses = 3
-	// mostLosses bounds those that are remembered: some more come from VMs that did
-	// not know yet.
-	mostLosses = 8
-	// suspectFor is how long a loss counts that nothing has followed.
-	suspectFor = 15 * time.Minute
-	// trialAfter is how long after it was held one run of a request may show that it is
-	// not at fault: upstreams that died of one other cause, as a rack does, lost many
-	// requests at once. trialFor is how long that run may take before another one.
-	trialAfter = 30 * time.Second
-	trialFor   = 10 * time.Second
-	// holdFor is how long a request is held after it last came, longestHold how
-	// long at most: its upstreams may have been mended.
-	holdFor     = 15 * time.Minute
-	longestHold = 24 * time.Hour
-	// soundFor is how long it is remembered that a request was served: losses from
-	// before that may still be on their way.
-	soundFor = 10 * time.Second
-	// mostEntries bounds a ledger.
-	mostEntries = 4096
-	// askedStep is how much later than known before a held request must have come for
-	// that to be told: it comes many times a second, and is held for minutes.
-	askedStep = holdFor / 10
-	// mostTold is how often a change is told, as datagrams get lost.
-	mostTold = 3
+	// holdThreshold is how many upstreams a request must lose to be held. Requests
+	// that ran beside it lose their upstreams as well, but are served by other
+	// upstreams afterwards.
+	holdThreshold = 3
+	// maxLosses bounds the losses kept per request. There are some more than
+	// holdThreshold, from VMs that did not know of the hold yet.
+	maxLosses = 8
+	// lossTTL is how long a loss counts if no other follows.
+	lossTTL = 15 * time.Minute
+	// trialDelay is how long after the start of a hold one run of the request may
+	// show that the request is not at fault: upstreams that crashed for one other
+	// reason, such as the failure of a rack, lost many requests at once.
+	// trialTimeout is how long that run may take before another one may start.
+	trialDelay   = 30 * time.Second
+	trialTimeout = 10 * time.Second
+	// holdTTL is how long a request is held after it last arrived, and maxHold how
+	// long at most: its upstreams may have been fixed meanwhile.
+	holdTTL = 15 * time.Minute
+	maxHold = 24 * time.Hour
+	// servedTTL is how long an entry remembers that its request was served: losses
+	// from before that may still be on their way from other VMs.
+	servedTTL = 10 * time.Second
+	// maxEntries bounds a ledger.
+	maxEntries = 4096
+	// arrivalStep is how much later than the last known arrival a held request must
+	// arrive for other VMs to be told: it arrives many times a second, and is held
+	// for minutes.
+	arrivalStep = holdTTL / 10
+	// maxSends is how often a change is sent to other VMs, as datagrams get lost.
+	maxSends = 3
 )
 
-// A Loss is an upstream that was lost while it ran a request.
+// A Loss is the loss of an upstream while it ran a request.
 type Loss struct {
-	// Upstream stands for one run of an upstream: one that has started again is
-	// another.
+	// Upstream identifies one run of an upstream: an upstream that has restarted
+	// counts as another one.
 	Upstream uint32
 	At       time.Time
 }
 
-// An Entry is what is known of a request. Entries of one request are merged in any
-// order and any number of times with the same result.
+// An Entry is what is known about a request. Merging is commutative and idempotent:
+// entries of one request may be merged in any order and any number of times with the
+// same result.
 type Entry struct {
 	Fingerprint fingerprinter.Fingerprint
-	// Losses are those since it was last served, in their order.
+	// Losses are the losses since the request was last served, in order of time.
 	Losses []Loss
-	// Served is when it was last served, Held since when the platform keeps that it
-	// is not sent on, Confirmed when a trial last crashed as well, and Asked when it
-	// last came while it was held; zero where that has not happened.
-	Served, Held, Confirmed, Asked time.Time
-	// Stored is what of it the platform keeps.
-	Stored Stored
-	// trial is when this VM last let a run of it show whether it is at fault.
-	trial time.Time
-	// changed is when something new became known here, own whether this VM found that
-	// out itself, and untold how often it is still to be told.
-	changed time.Time
-	own     bool
-	untold  int
-	// lifted says that it was held until it was served: a VM that has not heard of that
-	// goes on telling that it is held.
+	// Served is when the request was last served, RecordedSince since when it is
+	// held according to the platform's record, Confirmed when a trial last crashed
+	// as well, and LastArrival when it last arrived while it was held. Each is zero
+	// if that has not happened.
+	Served, RecordedSince, Confirmed, LastArrival time.Time
+	// Stored is what the platform stores about the request.
+	Stored StoredState
+	// lastTrial is when this VM last ran the request as a trial.
+	lastTrial time.Time
+	// changedAt is when something new became known here, local whether this VM
+	// observed it itself, and sendsLeft how often it is still to be sent.
+	changedAt time.Time
+	local     bool
+	sendsLeft int
+	// lifted reports whether the request was held until it was served: a VM that
+	// has not heard of that keeps sending that it is held.
 	lifted bool
 }
 
-// HeldSince is since when the request is not sent on; zero where it is.
+// HeldSince returns since when the request is held; zero if it is not.
 func (e *Entry) HeldSince() time.Time {
 	switch {
-	case e.Held.After(e.Served):
-		return e.Held
-	case len(e.Losses) >= leastLosses:
-		return e.Losses[leastLosses-1].At
+	case e.RecordedSince.After(e.Served):
+		return e.RecordedSince
+	case len(e.Losses) >= holdThreshold:
+		return e.Losses[holdThreshold-1].At
 	}
 	return time.Time{}
 }
 
 func (e *Entry) isHeld() bool { return !e.HeldSince().IsZero() }
 
-// isConfirmed says that a held request has crashed a trial, too.
+// isConfirmed reports whether a trial of the held request crashed as well.
 func (e *Entry) isConfirmed() bool {
 	if e.Confirmed.After(e.Served) {
 		return true
 	}
 	n := len(e.Losses)
-	return n > 0 && e.isHeld() && e.Losses[n-1].At.Sub(e.HeldSince()) >= trialAfter
+	return n > 0 && e.isHeld() && e.Losses[n-1].At.Sub(e.HeldSince()) >= trialDelay
 }
 
-// Stored is what the platform keeps of a request.
-type Stored int
+// StoredState is what the platform stores about a request.
+type StoredState int
 
-// What the platform may keep.
+// The states that the platform may store.
 const (
-	StoredNothing Stored = iota
+	StoredNothing StoredState = iota
 	StoredHeld
 	StoredConfirmed
 )
 
-// wanted is what the platform should keep of it.
-func (e *Entry) wanted() Stored {
+// wantStored returns what the platform should store about the request.
+func (e *Entry) wantStored() StoredState {
 	switch {
 	case !e.isHeld():
 		return StoredNothing
@@ -112,16 +117,18 @@
 	return StoredHeld
 }
 
-// A Ledger keeps entries. It is pure: the time is an argument.
+// A Ledger holds the entries of all known requests. It reads no clock; the time is
+// an argument.
 //
-// It answers one request that crashes whoever runs it and that comes again and
-// again, at any VM: without it each VM sends it to upstreams of its own, each
-// time, until none is left.
+// It protects against a request that crashes every upstream that runs it and that
+// arrives again and again, at any VM. Without it each VM would send the request to
+// other upstreams each time, until none is left.
 type Ledger struct {
 	entries map[fingerprinter.Fingerprint]*Entry
-	turn    int
-	// lifted are requests that are held no longer, of which the platform still keeps
-	// that they are.
+	// cursor is the position of the next batch in the replicated entries.
+	cursor int
+	// lifted are the requests that are no longer held, but that the platform still
+	// records as held.
 	lifted []fingerprinter.Fingerprint
 }
 
@@ -130,19 +137,19 @@
 	return &Ledger{entries: make(map[fingerprinter.Fingerprint]*Entry)}
 }
 
-// Lost notes an upstream that was lost under a request, and says how many were, and
-// whether it is held since then.
+// Lost records that an upstream was lost while it ran a request. It returns how many
+// upstreams the request has lost, and whether it is held from now on.
 func (l *Ledger) Lost(now time.Time, f fingerprinter.Fingerprint, upstream uint32) (losses int, held bool) {
 	e := l.entry(now, f)
 	before := e.isHeld()
 	if l.merge(now, e, Entry{Losses: []Loss{{Upstream: upstream, At: now}}}) {
-		e.own = true
+		e.local = true
 	}
 	return len(e.Losses), e.isHeld() && !before
 }
 
-// Served notes that a request was answered whole, and says whether that lifts what
-// was held against it.
+// Served records that a request was answered in full, and reports whether that ends
+// its hold.
 func (l *Ledger) Served(now time.Time, f fingerprinter.Fingerprint) (lifted bool) {
 	e, ok := l.entries[f]
 	if !ok || (len(e.Losses) == 0 && !e.isHeld()) {
@@ -150,83 +157,84 @@
 	}
 	lifted = e.isHeld()
 	l.merge(now, e, Entry{Served: now})
-	e.own = true
+	e.local = true
 	return lifted
 }
 
-// Held says whether a request must not be sent on, and after how long without its
-// coming again it may.
+// Held reports whether a request must not be sent to an upstream, and after how long
+// without another arrival it may be.
 func (l *Ledger) Held(now time.Time, f fingerprinter.Fingerprint) (after time.Duration, held bool) {
 	e, ok := l.entries[f]
 	if !ok || !e.isHeld() {
 		return 0, false
 	}
 	if e.isConfirmed() {
-		left := e.HeldSince().Add(longestHold).Sub(now)
-		return min(holdFor, left), left > 0
+		left := e.HeldSince().Add(maxHold).Sub(now)
+		return min(holdTTL, left), left > 0
 	}
-	left := e.HeldSince().Add(trialAfter).Sub(now)
-	return max(left, trialFor), left > 0 || now.Sub(e.trial) >= trialFor
+	left := e.HeldSince().Add(trialDelay).Sub(now)
+	return max(left, trialTimeout), left > 0 || now.Sub(e.lastTrial) >= trialTimeout
 }
 
-// Arrived is Held for a request that has just come. It says whether its trial is due, which
-// Try begins.
+// Arrived is like Held, for a request that has just arrived. It also reports whether
+// the trial of the request is due, which StartTrial starts.
 func (l *Ledger) Arrived(now time.Time, f fingerprinter.Fingerprint) (after time.Duration, held, due bool) {
 	e, ok := l.entries[f]
 	if !ok || !e.isHeld() {
 		return 0, false, false
 	}
-	if now.Sub(e.lastAsked()) >= askedStep {
-		e.changed, e.own, e.untold = now, true, mostTold
+	if now.Sub(e.lastArrival()) >= arrivalStep {
+		e.changedAt, e.local, e.sendsLeft = now, true, maxSends
 	}
-	e.Asked = now
+	e.LastArrival = now
 	after, held = l.Held(now, f)
 	switch {
 	case e.isConfirmed():
 		return after, held, false
 	case !held:
-		// Its trial is under way.
-		return trialFor, true, false
+		// A trial is running.
+		return trialTimeout, true, false
 	}
-	return after, true, now.Sub(e.HeldSince()) >= trialAfter
+	return after, true, now.Sub(e.HeldSince()) >= trialDelay
 }
 
-// Try lets a request that is held run once, where its trial is due.
-func (l *Ledger) Try(now time.Time, f fingerprinter.Fingerprint) bool {
+// StartTrial lets a held request run once if its trial is due, and reports whether
+// it is.
+func (l *Ledger) StartTrial(now time.Time, f fingerprinter.Fingerprint) bool {
 	_, _, due := l.Arrived(now, f)
 	if due {
-		l.entries[f].trial = now
+		l.entries[f].lastTrial = now
 	}
 	return due
 }
 
-// Merge takes in what another VM or the platform knows. It says whether that was
-// news, and whether a request is held now that was not, or the other way round.
-func (l *Ledger) Merge(now time.Time, other Entry) (news, held, lifted bool) {
-	if other.over(now) {
+// Merge merges an entry from another VM or from the platform. It reports whether
+// that changed anything, and whether it started or ended a hold.
+func (l *Ledger) Merge(now time.Time, other Entry) (changed, held, lifted bool) {
+	if other.expired(now) {
 		return false, false, false
 	}
 	e := l.entry(now, other.Fingerprint)
 	before := e.isHeld()
-	news = l.merge(now, e, other)
-	if news {
-		e.own = false
+	changed = l.merge(now, e, other)
+	if changed {
+		e.local = false
 	}
-	return news, e.isHeld() && !before, before && !e.isHeld()
+	return changed, e.isHeld() && !before, before && !e.isHeld()
 }
 
-// merge takes in what another entry of a request says.
-func (l *Ledger) merge(now time.Time, e *Entry, other Entry) (news bool) {
+// merge merges another entry of the same request into e.
+func (l *Ledger) merge(now time.Time, e *Entry, other Entry) (changed bool) {
 	stored := e.Stored
-	news = e.merge(now, other)
+	changed = e.merge(now, other)
 	if stored != StoredNothing && !e.isHeld() {
 		l.lifted = append(l.lifted, e.Fingerprint)
 	}
-	return news
+	return changed
 }
 
-// Stored notes what the platform keeps of a request.
-func (l *Ledger) Stored(f fingerprinter.Fingerprint, s Stored) {
+// MarkStored records what the platform stores about a request.
+func (l *Ledger) MarkStored(f fingerprinter.Fingerprint, s StoredState) {
 	if e, ok := l.entries[f]; ok {
 		e.Stored = max(e.Stored, s)
 	}
@@ -235,7 +243,7 @@
 func (l *Ledger) entry(now time.Time, f fingerprinter.Fingerprint) *Entry {
 	e, ok := l.entries[f]
 	if !ok {
-		if len(l.entries) >= mostEntries {
+		if len(l.entries) >= maxEntries {
 			l.evict(now)
 		}
 		e = &Entry{Fingerprint: f}
@@ -244,24 +252,26 @@
 	return e
 }
 
-// evict makes room: first what is over, then what has the fewest losses and is
-// oldest. What is held goes last.
+// evict makes room for an entry. It drops all expired entries, or else the one with
+// the fewest losses, and of these the least recently changed. Entries of held
+// requests go last.
 func (l *Ledger) evict(now time.Time) {
-	var worst *Entry
+	var least *Entry
 	for f, e := range l.entries {
-		if e.over(now) {
+		if e.expired(now) {
 			delete(l.entries, f)
 			continue
 		}
-		if worst == nil || e.less(worst) {
-			worst = e
+		if least == nil || e.less(least) {
+			least = e
 		}
 	}
-	if len(l.entries) >= mostEntries && worst != nil {
-		delete(l.entries, worst.Fingerprint)
+	if len(l.entries) >= maxEntries && least != nil {
+		delete(l.entries, least.Fingerprint)
 	}
 }
 
+// less reports whether e is less important than another entry.
 func (e *Entry) less(other *Entry) bool {
 	if held := e.isHeld(); held != other.isHeld() {
 		return !held
@@ -269,81 +279,83 @@
 	if len(e.Losses) != len(other.Losses) {
 		return len(e.Losses) < len(other.Losses)
 	}
-	return e.changed.Before(other.changed)
+	return e.changedAt.Before(other.changedAt)
 }
 
-// lastAsked is when a held request was last asked for, as far as is known.
-func (e *Entry) lastAsked() time.Time { return latest(e.Asked, e.HeldSince()) }
+// lastArrival returns when a held request last arrived, as far as is known here.
+func (e *Entry) lastArrival() time.Time { return latest(e.LastArrival, e.HeldSince()) }
 
-// Expire drops what is over, and gives the requests that are held no longer, of which
-// the platform still keeps that they are.
-func (l *Ledger) Expire(now time.Time) (kept []fingerprinter.Fingerprint) {
-	kept, l.lifted = l.lifted, nil
+// Expire drops expired entries. It returns the requests that are no longer held, but
+// that the platform still records as held.
+func (l *Ledger) Expire(now time.Time) (stored []fingerprinter.Fingerprint) {
+	stored, l.lifted = l.lifted, nil
 	for f, e := range l.entries {
-		if !e.over(now) {
+		if !e.expired(now) {
 			continue
 		}
 		delete(l.entries, f)
 		if e.Stored != StoredNothing {
-			kept = append(kept, f)
+			stored = append(stored, f)
 		}
 	}
-	return kept
+	return stored
 }
 
-// over says that an entry tells nothing any more.
-func (e *Entry) over(now time.Time) bool {
+// expired reports whether the entry is no longer needed.
+func (e *Entry) expired(now time.Time) bool {
 	switch {
 	case e.isHeld():
-		return now.Sub(e.lastAsked()) >= holdFor || now.Sub(e.HeldSince()) >= longestHold
+		return now.Sub(e.lastArrival()) >= holdTTL || now.Sub(e.HeldSince()) >= maxHold
 	case len(e.Losses) > 0:
-		return now.Sub(e.Losses[len(e.Losses)-1].At) >= suspectFor
+		return now.Sub(e.Losses[len(e.Losses)-1].At) >= lossTTL
 	}
 	if e.lifted {
-		return now.Sub(e.Served) >= holdFor
+		return now.Sub(e.Served) >= holdTTL
 	}
-	return now.Sub(e.Served) >= soundFor
+	return now.Sub(e.Served) >= servedTTL
 }
 
-// merge takes in what another entry of the same request says.
-func (e *Entry) merge(now time.Time, other Entry) (news bool) {
+// merge merges another entry of the same request, and reports whether that changed
+// anything worth telling other VMs.
+func (e *Entry) merge(now time.Time, other Entry) (changed bool) {
 	before, confirmed := e.isHeld(), e.isConfirmed()
 	if other.Served.After(e.Served) {
-		// Served at one moment is heard of from several VMs, some milliseconds apart.
-		news = len(e.Losses) > 0 || before
+		// A later time alone is not a change: several VMs report the same service,
+		// with times that differ by some milliseconds.
+		changed = len(e.Losses) > 0 || before
 		e.Served = other.Served
 		e.Losses = slices.DeleteFunc(e.Losses, func(l Loss) bool { return !l.At.After(e.Served) })
 	}
-	e.Held = latest(e.Held, other.Held)
+	e.RecordedSince = latest(e.RecordedSince, other.RecordedSince)
 	e.Confirmed = latest(e.Confirmed, other.Confirmed)
 	for _, loss := range other.Losses {
-		news = e.lost(loss) || news
+		changed = e.addLoss(loss) || changed
 	}
-	news = news || e.isHeld() != before || e.isConfirmed() != confirmed
+	changed = changed || e.isHeld() != before || e.isConfirmed() != confirmed
 	if !e.isHeld() {
-		e.Asked, e.Stored, e.trial = time.Time{}, StoredNothing, time.Time{}
+		e.LastArrival, e.Stored, e.lastTrial = time.Time{}, StoredNothing, time.Time{}
 		e.lifted = e.lifted || before
 	} else {
 		e.lifted = false
-		news = news || other.Asked.Sub(e.lastAsked()) >= askedStep
-		e.Asked = latest(e.Asked, other.Asked)
+		changed = changed || other.LastArrival.Sub(e.lastArrival()) >= arrivalStep
+		e.LastArrival = latest(e.LastArrival, other.LastArrival)
 		e.Stored = max(e.Stored, other.Stored)
 	}
-	if news {
-		e.changed, e.untold = now, mostTold
+	if changed {
+		e.changedAt, e.sendsLeft = now, maxSends
 	}
-	return news
+	return changed
 }
 
-// lost adds a loss, and says whether it is new.
-func (e *Entry) lost(loss Loss) bool {
+// addLoss adds a loss, and reports whether it is new.
+func (e *Entry) addLoss(loss Loss) bool {
 	same := func(l Loss) bool { return l.Upstream == loss.Upstream }
 	if !loss.At.After(e.Served) || slices.ContainsFunc(e.Losses, same) {
 		return false
 	}
-	if n := len(e.Losses); n >= mostLosses {
-		// The first ones tell since when it is held, and the last one whether a trial
-		// crashed.
+	if n := len(e.Losses); n >= maxLosses {
+		// Replace the last loss only: the first ones tell since when the request
+		// is held, and the last one whether a trial crashed.
 		if !loss.At.After(e.Losses[n-1].At) {
 			return false
 		}
@@ -361,14 +373,16 @@
 	return b
 }
 
-// Fresh are the entries that have changed and are still to be told, those with most
-// losses first; with own only what this VM has found out itself. What is given counts
-// as told once more: in a wave of crashes, in which most losses are those of requests
-// that only ran beside another, telling all of them again with each would flood the VMs.
-func (l *Ledger) Fresh(own bool, most int) []Entry {
+// Pending returns up to limit changed entries that are still to be sent to other
+// VMs, those with the most losses first; with localOnly, only those that this VM
+// observed itself. Each call counts as one send of the entries that it returns. The
+// number of sends is limited because in a wave of crashes most losses are those of
+// requests that only ran beside the one at fault: sending all of them again with each
+// change would flood the VMs.
+func (l *Ledger) Pending(localOnly bool, limit int) []Entry {
 	var found []*Entry
 	for _, e := range l.entries {
-		if e.untold > 0 && (e.own || !own) {
+		if e.sendsLeft > 0 && (e.local || !localOnly) {
 			found = append(found, e)
 		}
 	}
@@ -378,15 +392,15 @@
 		}
 		return -1
 	})
-	var told []Entry
-	for _, e := range found[:min(most, len(found))] {
-		e.untold--
-		told = append(told, *e)
+	var pending []Entry
+	for _, e := range found[:min(limit, len(found))] {
+		e.sendsLeft--
+		pending = append(pending, *e)
 	}
-	return told
+	return pending
 }
 
-// AllHeld are the entries of held requests.
+// AllHeld returns the entries of held requests.
 func (l *Ledger) AllHeld() []Entry {
 	var found []Entry
 	for _, e := range l.entries {
@@ -397,9 +411,9 @@
 	return found
 }
 
-// Standing are the entries that all VMs must agree on, in the order of their fingerprints:
+// Replicated returns the entries that all VMs must agree on, sorted by fingerprint:
 // those of requests that are held, or were until they were served.
-func (l *Ledger) Standing() []Entry {
+func (l *Ledger) Replicated() []Entry {
 	found := l.AllHeld()
 	for _, e := range l.entries {
 		if e.lifted {
@@ -412,27 +426,27 @@
 	return found
 }
 
-// InTurn are some of those, others each time.
-func (l *Ledger) InTurn(most int) []Entry {
-	all := l.Standing()
-	if len(all) <= most {
+// NextBatch returns up to limit replicated entries, other ones on each call.
+func (l *Ledger) NextBatch(limit int) []Entry {
+	all := l.Replicated()
+	if len(all) <= limit {
 		return all
 	}
 	var found []Entry
-	for i := range most {
-		found = append(found, all[(l.turn+i)%len(all)])
+	for i := range limit {
+		found = append(found, all[(l.cursor+i)%len(all)])
 	}
-	l.turn = (l.turn + most) % len(all)
+	l.cursor = (l.cursor + limit) % len(all)
 	return found
 }
 
-// Empty says that no request is known.
+// Empty reports whether no request is known.
 func (l *Ledger) Empty() bool { return len(l.entries) == 0 }
 
-// Known says that a request is known.
+// Known reports whether a request is known.
 func (l *Ledger) Known(f fingerprinter.Fingerprint) bool { return l.entries[f] != nil }
 
-// Len is how many requests are known, and held how many of them are.
+// Len returns how many requests are known, and how many of them are held.
 func (l *Ledger) Len() (known, held int) {
 	for _, e := range l.entries {
 		if e.isHeld() {
--- a/entry/process/quarantiner/message.go
+++ b/entry/process/quarantiner/message.go
@@ -8,20 +8,21 @@
 	"github.com/heathervane/heathervane/entry/request/fingerprinter"
 )
 
-// mostPart is how many entries one datagram holds: it should not be split on its way.
-const mostPart = 20
+// maxPartEntries is how many entries one datagram holds, so that it is not fragmented
+// on its way.
+const maxPartEntries = 20
 
-// never is the age of what has not happened.
-const never = -1
+// noAge is the age of an event that has not happened.
+const noAge = -1
 
-// wireEntry is an entry with ages in place of times: VMs' clocks differ.
+// wireEntry is an Entry with ages in place of times, as the clocks of VMs differ.
 type wireEntry struct {
-	_                   struct{} `cbor:",toarray"`
-	Fingerprint         []byte
-	Losses              []wireLoss
-	Served, Held, Asked int64
-	Confirmed           int64
-	Stored              Stored
+	_                                  struct{} `cbor:",toarray"`
+	Fingerprint                        []byte
+	Losses                             []wireLoss
+	Served, RecordedSince, LastArrival int64
+	Confirmed                          int64
+	Stored                             StoredState
 }
 
 type wireLoss struct {
@@ -31,34 +32,34 @@
 	Age int64
 }
 
-func age(now, at time.Time) int64 {
+func ageOf(now, at time.Time) int64 {
 	if at.IsZero() {
-		return never
+		return noAge
 	}
 	return max(0, now.Sub(at).Milliseconds())
 }
 
-func since(now time.Time, ms int64) time.Time {
-	if ms < 0 || ms > longestHold.Milliseconds() {
+func timeOf(now time.Time, age int64) time.Time {
+	if age < 0 || age > maxHold.Milliseconds() {
 		return time.Time{}
 	}
-	return now.Add(-time.Duration(ms) * time.Millisecond)
+	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
-// encode makes datagrams' parts of entries.
+// encode encodes entries in parts that fit in one datagram each.
 func encode(now time.Time, all []Entry) ([][]byte, error) {
 	var parts [][]byte
 	for len(all) > 0 {
-		n := min(mostPart, len(all))
+		n := min(maxPartEntries, len(all))
 		wire := make([]wireEntry, 0, n)
 		for i := range all[:n] {
 			e := &all[i]
 			w := wireEntry{
-				Fingerprint: e.Fingerprint[:], Served: age(now, e.Served), Held: age(now, e.Held),
-				Asked: age(now, e.Asked), Confirmed: age(now, e.Confirmed), Stored: e.Stored,
+				Fingerprint: e.Fingerprint[:], Served: ageOf(now, e.Served), RecordedSince: ageOf(now, e.RecordedSince),
+				LastArrival: ageOf(now, e.LastArrival), Confirmed: ageOf(now, e.Confirmed), Stored: e.Stored,
 			}
 			for _, loss := range e.Losses {
-				w.Losses = append(w.Losses, wireLoss{Upstream: loss.Upstream, Age: age(now, loss.At)})
+				w.Losses = append(w.Losses, wireLoss{Upstream: loss.Upstream, Age: ageOf(now, loss.At)})
 			}
 			wire = append(wire, w)
 		}
@@ -72,7 +73,7 @@
 	return parts, nil
 }
 
-// decode reads such a part. What another VM cannot mean is left out.
+// decode decodes a part. It skips entries and losses that no VM would send.
 func decode(now time.Time, data []byte) ([]Entry, error) {
 	var wire []wireEntry
 	if err := cbor.Unmarshal(data, &wire); err != nil {
@@ -81,14 +82,14 @@
 	var all []Entry
 	for _, w := range wire {
 		e := Entry{
-			Served: since(now, w.Served), Held: since(now, w.Held), Asked: since(now, w.Asked),
-			Confirmed: since(now, w.Confirmed), Stored: w.Stored,
+			Served: timeOf(now, w.Served), RecordedSince: timeOf(now, w.RecordedSince), LastArrival: timeOf(now, w.LastArrival),
+			Confirmed: timeOf(now, w.Confirmed), Stored: w.Stored,
 		}
-		if copy(e.Fingerprint[:], w.Fingerprint) != fingerprinter.Size || len(w.Losses) > mostLosses {
+		if copy(e.Fingerprint[:], w.Fingerprint) != fingerprinter.Size || len(w.Losses) > maxLosses {
 			continue
 		}
 		for _, loss := range w.Losses {
-			if at := since(now, loss.Age); !at.IsZero() {
+			if at := timeOf(now, loss.Age); !at.IsZero() {
 				e.Losses = append(e.Losses, Loss{Upstream: loss.Upstream, At: at})
 			}
 		}
--- a/entry/process/quarantiner/quarantiner.go
+++ b/entry/process/quarantiner/quarantiner.go
@@ -1,10 +1,10 @@
-// Package quarantiner keeps requests from upstreams that crash whoever runs them.
-// Every VM tells the others which upstreams were lost under which requests, and what
-// is held is kept by the platform, so that neither the end of a request nor that of
-// any VM, or of all at once, lets it loose again.
+// Package quarantiner holds back requests that crash the upstreams that run them.
+// Every VM tells the others which upstreams were lost while they ran which requests.
+// The platform records the requests that are held in quarantine, so that a hold
+// survives the end of the request and the loss of any VM, or of all VMs at once.
 //
-// A request is known by its fingerprint. Others of the same caller and path are
-// served meanwhile, and one that is served once is suspected no more.
+// A request is identified by its fingerprint. Other requests of the same caller and
+// path are still served, and a request that is served once is not suspected any more.
 package quarantiner
 
 import (
@@ -19,85 +19,88 @@
 	"github.com/heathervane/heathervane/entry/request/fingerprinter"
 )
 
-// ErrHeld is why a request ends that waits while it is found out.
+// ErrHeld is the cause with which a waiting request is cancelled when it turns out to
+// be held.
 var ErrHeld = errors.New("the request has crashed the upstreams that ran it")
 
 const (
-	// storeAgain is how soon a VM tries again to have the platform keep what it
-	// found out itself, and storeOthers after how long it does so for another VM,
-	// which may have ended.
-	storeAgain  = time.Second
-	storeOthers = 8 * time.Second
-	// mostFresh bounds the changes told at a time.
-	mostFresh = 3 * mostPart
+	// storeRetry is how soon a VM again asks the platform to record a hold that it
+	// observed itself. storeForOthers is after how long it asks on behalf of another
+	// VM, which may have crashed.
+	storeRetry     = time.Second
+	storeForOthers = 8 * time.Second
+	// maxPending bounds the changes sent at once.
+	maxPending = 3 * maxPartEntries
 )
 
-// A Fingerprint stands for a request.
+// A Fingerprint identifies a request.
 type Fingerprint = fingerprinter.Fingerprint
 
-// A Meter counts.
+// A Meter counts events.
 type Meter interface {
 	Count(name string, n int64)
 }
 
-// Deps are what a Quarantiner works with.
+// Deps are the dependencies of a Quarantiner.
 type Deps struct {
 	Meter Meter
 	Now   func() time.Time
 	Log   zerolog.Logger
-	// Broadcast is called when there is something to tell other VMs at once.
+	// Broadcast is called when there are changes to send to other VMs at once.
 	Broadcast func()
-	// MayRunTrial says that this VM, and no other, may run a held request once to see whether
-	// it is at fault. It is called without a lock.
+	// MayRunTrial reports whether this VM, and no other, may run a held request once
+	// to find out whether it is at fault. It is called without holding a lock.
 	MayRunTrial func(f Fingerprint) bool
 }
 
-// A Quarantiner is one VM's part. It is safe for concurrent use.
+// A Quarantiner is one VM's view of the quarantine. It is safe for concurrent use.
 type Quarantiner struct {
 	deps Deps
 
 	mu     sync.Mutex
 	ledger *Ledger
-	// waiting are the requests in progress here that no upstream has answered yet.
-	waiting map[fingerprinter.Fingerprint]map[*guard]bool
-	// tried is when the platform was last asked to keep a held request.
-	tried map[fingerprinter.Fingerprint]time.Time
+	// waiting are the requests in progress on this VM that no upstream has answered
+	// yet.
+	waiting map[fingerprinter.Fingerprint]map[*waiter]bool
+	// lastStoreAttempt is when the platform was last asked to record a hold.
+	lastStoreAttempt map[fingerprinter.Fingerprint]time.Time
 }
 
-type guard struct{ cancel context.CancelCauseFunc }
+type waiter struct{ cancel context.CancelCauseFunc }
 
 // New returns a Quarantiner that holds nothing.
 func New(d Deps) *Quarantiner {
 	return &Quarantiner{
-		deps: d, ledger: NewLedger(), waiting: make(map[fingerprinter.Fingerprint]map[*guard]bool),
-		tried: make(map[fingerprinter.Fingerprint]time.Time),
+		deps: d, ledger: NewLedger(), waiting: make(map[fingerprinter.Fingerprint]map[*waiter]bool),
+		lastStoreAttempt: make(map[fingerprinter.Fingerprint]time.Time),
 	}
 }
 
-// Lost notes that an upstream, in its run since born, was lost under a request, and
-// says how many were.
+// Lost records that an upstream, in its run that began at born, was lost while it ran
+// a request. It returns how many upstreams the request has lost.
 func (q *Quarantiner) Lost(f fingerprinter.Fingerprint, upstream string, born int64) (losses int) {
 	q.mu.Lock()
 	losses, held := q.ledger.Lost(q.deps.Now(), f, incarnation(upstream, born))
 	if held {
-		q.held(f, "found here")
+		q.onHeld(f, "this VM")
 	}
 	q.mu.Unlock()
 	q.deps.Broadcast()
 	return losses
 }
 
+// incarnation returns a hash that identifies one run of an upstream.
 func incarnation(upstream string, born int64) uint32 {
 	d := xxhash.New()
-	d.WriteString(upstream) //nolint:errcheck // a Digest does not fail
+	d.WriteString(upstream) //nolint:errcheck // a Digest never returns an error
 	for range 8 {
-		d.Write([]byte{byte(born)}) //nolint:errcheck // a Digest does not fail
+		d.Write([]byte{byte(born)}) //nolint:errcheck // a Digest never returns an error
 		born >>= 8
 	}
 	return uint32(d.Sum64())
 }
 
-// Served notes that a request was answered whole.
+// Served records that a request was answered in full, which ends its hold.
 func (q *Quarantiner) Served(f fingerprinter.Fingerprint) {
 	q.mu.Lock()
 	if q.ledger.Empty() {
@@ -106,7 +109,7 @@
 	}
 	lifted := q.ledger.Served(q.deps.Now(), f)
 	if lifted {
-		q.lifted(f, "served")
+		q.onLifted(f, "served")
 	}
 	q.mu.Unlock()
 	if lifted {
@@ -114,15 +117,17 @@
 	}
 }
 
-// Held says whether a request must not be sent on, and after how long without its
-// coming again it may.
+// Held reports whether a request must not be sent to an upstream, and after how long
+// without another arrival it may be.
 func (q *Quarantiner) Held(f fingerprinter.Fingerprint) (after time.Duration, held bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.ledger.Held(q.deps.Now(), f)
 }
 
-// Arrived is Held for a request that has just come.
+// Arrived is like Held, for a request that has just arrived. If the trial of a held
+// request is due, and may run on this VM, it starts the trial and reports the request
+// as not held.
 func (q *Quarantiner) Arrived(f fingerprinter.Fingerprint) (after time.Duration, held bool) {
 	q.mu.Lock()
 	after, held, due := q.ledger.Arrived(q.deps.Now(), f)
@@ -132,188 +137,191 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.ledger.Try(q.deps.Now(), f) {
+	if !q.ledger.StartTrial(q.deps.Now(), f) {
 		return after, held
 	}
-	q.deps.Log.Info().Stringer("fingerprint", f).Msg("quarantine on trial")
+	q.deps.Log.Info().Stringer("fingerprint", f).Msg("quarantine trial started")
 	return 0, false
 }
 
-// CancelWhenHeld gives a context that ends with ErrHeld when a request turns out to be one
-// that is held, until it is released.
+// CancelWhenHeld returns a context that is cancelled with ErrHeld if the request turns
+// out to be held before release is called. The caller must call release.
 func (q *Quarantiner) CancelWhenHeld(ctx context.Context, f fingerprinter.Fingerprint) (guarded context.Context, release func()) {
 	guarded, cancel := context.WithCancelCause(ctx)
-	g := &guard{cancel}
+	w := &waiter{cancel}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.waiting[f] == nil {
-		q.waiting[f] = make(map[*guard]bool)
+		q.waiting[f] = make(map[*waiter]bool)
 	}
-	q.waiting[f][g] = true
+	q.waiting[f][w] = true
 	return guarded, func() {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		delete(q.waiting[f], g)
+		delete(q.waiting[f], w)
 		if len(q.waiting[f]) == 0 {
 			delete(q.waiting, f)
 		}
 	}
 }
 
-// held has a request that turned out to be one wait no longer here.
-func (q *Quarantiner) held(f fingerprinter.Fingerprint, source string) {
-	for g := range q.waiting[f] {
-		g.cancel(ErrHeld)
+// onHeld cancels the waiting runs of a request that has just become held. It is
+// called with q.mu held.
+func (q *Quarantiner) onHeld(f fingerprinter.Fingerprint, source string) {
+	for w := range q.waiting[f] {
+		w.cancel(ErrHeld)
 	}
 	q.deps.Meter.Count("quarantined", 1)
 	q.deps.Log.Warn().Stringer("fingerprint", f).Str("source", source).
 		Int("waiting", len(q.waiting[f])).Msg("request quarantined")
 }
 
-func (q *Quarantiner) lifted(f fingerprinter.Fingerprint, source string) {
+func (q *Quarantiner) onLifted(f fingerprinter.Fingerprint, source string) {
 	q.deps.Log.Warn().Stringer("fingerprint", f).Str("source", source).Msg("quarantine lifted")
 }
 
-// Fresh is what changed and is still to be told to other VMs; with own only what was
-// found out here.
+// Fresh returns the encoded changes that are still to be sent to other VMs; with own,
+// only those that this VM observed itself.
 func (q *Quarantiner) Fresh(own bool) [][]byte {
-	return q.tell(func() []Entry { return q.ledger.Fresh(own, mostFresh) })
+	return q.encodeEntries(func() []Entry { return q.ledger.Pending(own, maxPending) })
 }
 
-// InTurn is a part of what is held or was until it was served, another each time.
+// InTurn returns some of the entries of requests that are held, or were until they
+// were served, encoded; other ones on each call.
 func (q *Quarantiner) InTurn() [][]byte {
-	return q.tell(func() []Entry { return q.ledger.InTurn(mostPart) })
+	return q.encodeEntries(func() []Entry { return q.ledger.NextBatch(maxPartEntries) })
 }
 
-// All is all of that.
+// All returns all of those entries, encoded.
 func (q *Quarantiner) All() [][]byte {
-	return q.tell(func() []Entry { return q.ledger.Standing() })
+	return q.encodeEntries(func() []Entry { return q.ledger.Replicated() })
 }
 
-func (q *Quarantiner) tell(choose func() []Entry) [][]byte {
+func (q *Quarantiner) encodeEntries(choose func() []Entry) [][]byte {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.deps.Now()
 	parts, err := encode(now, choose())
 	if err != nil {
-		q.deps.Log.Error().Err(err).Msg("quarantined requests were not encoded")
+		q.deps.Log.Error().Err(err).Msg("encoding of quarantined requests failed")
 	}
 	return parts
 }
 
-// Take takes in what another VM told, and says whether it was news.
-func (q *Quarantiner) Take(data []byte) (news bool) { return q.TakeOlder(data, 0) }
+// Take merges entries from another VM, and reports whether they changed anything.
+func (q *Quarantiner) Take(data []byte) (changed bool) { return q.TakeOlder(data, 0) }
 
-// TakeOlder takes in what another VM told some time ago.
-func (q *Quarantiner) TakeOlder(data []byte, age time.Duration) (news bool) {
+// TakeOlder is like Take, for entries that were sent some time ago.
+func (q *Quarantiner) TakeOlder(data []byte, age time.Duration) (changed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.deps.Now()
 	all, err := decode(now.Add(-age), data)
 	if err != nil {
-		q.deps.Log.Debug().Err(err).Msg("quarantined requests not understood")
+		q.deps.Log.Debug().Err(err).Msg("decoding of quarantined requests failed")
 		return false
 	}
 	for _, e := range all {
-		news = q.merge(now, e, "a VM") || news
+		changed = q.merge(now, e, "another VM") || changed
 	}
-	return news
+	return changed
 }
 
 func (q *Quarantiner) merge(now time.Time, e Entry, source string) bool {
-	news, held, lifted := q.ledger.Merge(now, e)
+	changed, held, lifted := q.ledger.Merge(now, e)
 	if held {
-		q.held(e.Fingerprint, source)
+		q.onHeld(e.Fingerprint, source)
 	}
 	if lifted {
-		q.lifted(e.Fingerprint, source)
+		q.onLifted(e.Fingerprint, source)
 	}
-	return news
+	return changed
 }
 
-// A Record is what the platform keeps of a held request.
+// A Record is what the platform stores about a held request.
 type Record struct {
 	Fingerprint fingerprinter.Fingerprint
-	// Since is since when, and Confirmed says that a trial crashed as well.
+	// Since is since when the request is held, and Confirmed whether a trial crashed
+	// as well.
 	Since     time.Time
 	Confirmed bool
 }
 
-// stored is what the platform keeps by it.
-func (r Record) stored() Stored {
+// state returns the state that the record stands for.
+func (r Record) state() StoredState {
 	if r.Confirmed {
 		return StoredConfirmed
 	}
 	return StoredHeld
 }
 
-// Restore takes in a record of the platform. It says whether that is over, so that
-// the platform need not keep it any longer.
-func (q *Quarantiner) Restore(r Record) (over bool) {
+// Restore merges a record from the platform. It reports whether the record has
+// expired, so that the platform may drop it.
+func (q *Quarantiner) Restore(r Record) (expired bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.deps.Now()
-	// Clocks differ: what is held from a moment on that has not come yet is held now.
+	// Clocks differ: a hold that begins in the future begins now.
 	since := r.Since
 	if since.After(now) {
 		since = now
 	}
-	e := Entry{Fingerprint: r.Fingerprint, Held: since, Asked: now, Stored: r.stored()}
+	e := Entry{Fingerprint: r.Fingerprint, RecordedSince: since, LastArrival: now, Stored: r.state()}
 	if r.Confirmed {
 		e.Confirmed = since
 	}
 	q.merge(now, e, "the platform")
-	return e.over(now)
+	return e.expired(now)
 }
 
-// Lift ends what is held against a request, as its record is gone.
+// Lift ends the hold of a request whose record the platform has dropped.
 func (q *Quarantiner) Lift(f fingerprinter.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.ledger.Served(q.deps.Now(), f) {
-		q.lifted(f, "the platform")
+		q.onLifted(f, "the platform")
 	}
 }
 
-// MarkStored notes that the platform keeps a record.
+// MarkStored records that the platform has stored a record.
 func (q *Quarantiner) MarkStored(r Record) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Stored(r.Fingerprint, r.stored())
-	delete(q.tried, r.Fingerprint)
+	q.ledger.MarkStored(r.Fingerprint, r.state())
+	delete(q.lastStoreAttempt, r.Fingerprint)
 }
 
-// Reconcile drops what is over, and gives the held requests that the platform should be
-// asked to keep now, and those that it need not keep any longer.
-func (q *Quarantiner) Reconcile() (keep []Record, drop []fingerprinter.Fingerprint) {
+// Reconcile drops expired entries. It returns the records that the platform should be
+// asked to store now, and the requests whose records it may drop.
+func (q *Quarantiner) Reconcile() (store []Record, drop []fingerprinter.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.deps.Now()
 	drop = q.ledger.Expire(now)
 	for _, e := range q.ledger.AllHeld() {
-		wait := storeAgain
-		if !e.own {
-			wait = storeOthers
+		wait := storeRetry
+		if !e.local {
+			wait = storeForOthers
 		}
-		first, ok := q.tried[e.Fingerprint]
-		if !ok && !e.own {
-			first = e.changed
+		since, ok := q.lastStoreAttempt[e.Fingerprint]
+		if !ok && !e.local {
+			since = e.changedAt
 		}
-		if e.Stored >= e.wanted() || now.Sub(first) < wait {
+		if e.Stored >= e.wantStored() || now.Sub(since) < wait {
 			continue
 		}
-		q.tried[e.Fingerprint] = now
-		keep = append(keep, Record{Fingerprint: e.Fingerprint, Since: e.HeldSince(), Confirmed: e.isConfirmed()})
+		q.lastStoreAttempt[e.Fingerprint] = now
+		store = append(store, Record{Fingerprint: e.Fingerprint, Since: e.HeldSince(), Confirmed: e.isConfirmed()})
 	}
-	for f := range q.tried {
+	for f := range q.lastStoreAttempt {
 		if !q.ledger.Known(f) {
-			delete(q.tried, f)
+			delete(q.lastStoreAttempt, f)
 		}
 	}
-	return keep, drop
+	return store, drop
 }
 
-// Len is how many requests are held.
+// Len returns how many requests are held.
 func (q *Quarantiner) Len() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
