--- a/entry/process/quarantiner/fleet_test.go
+++ b/entry/process/quarantiner/fleet_test.go
@@ -94,7 +94,7 @@
 func (f *fleet) addVM() {
 	i := len(f.vms)
 	v := &vm{fleet: f, member: allocator.Member{
-		VM: "vm" + strconv.Itoa(i), Zone: "z" + strconv.Itoa(i%3), Power: 0.4,
+		VM: "vm" + strconv.Itoa(i), Zone: "z" + strconv.Itoa(i%3), Cores: 0.4,
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}), 7000),
 	}}
 	f.vms = append(f.vms, v)
--- a/entry/request/relayer/stream.go
+++ b/entry/request/relayer/stream.go
@@ -124,7 +124,7 @@
 		if err := control.Flush(); err != nil {
 			return &callerError{err}
 		}
-		if id := r.deps.Dialect.Event(event); id != "" {
+		if id := r.deps.Protocol.EventID(event); id != "" {
 			j.lastEvent = id
 		}
 	}
@@ -138,7 +138,7 @@
 	}
 	t.began = true
 	r.deps.Tracker.Answered(now, t.grant.Upstream.ID)
-	t.grant.Began()
+	t.grant.MarkStarted()
 }
 
 // begun sends the head of the answer. A later upstream that goes on with the
