--- a/entry/process/coordinator/capacity_test.go
+++ b/entry/process/coordinator/capacity_test.go
@@ -55,7 +55,7 @@
 	for i := range upstreams {
 		u := engine(fmt.Sprintf("e%05d", i))
 		us = append(us, u)
-		holder, _ := member.Should(u.Name, c.members)
+		holder, _ := member.PreferredHolder(u.Name, c.members)
 		holds[holder] = append(holds[holder], u.Name)
 		claims[holder].Upstreams = append(claims[holder].Upstreams, recorder.ClaimUpstream{Name: u.Name})
 	}
@@ -91,7 +91,7 @@
 		if m.VM == c.own {
 			continue
 		}
-		beat := &member.Beat{VM: m.VM, Boot: 1, Zone: "a", Address: m.Address}
+		beat := &member.Heartbeat{VM: m.VM, Boot: 1, Zone: "a", Address: m.Address}
 		c.node.Handle(c.now, c.who(m.VM), coordinator.Message{Beat: beat})
 	}
 }
--- a/entry/process/coordinator/fuzz_test.go
+++ b/entry/process/coordinator/fuzz_test.go
@@ -16,7 +16,7 @@
 // what they may start stays within the slots.
 func FuzzPeer(f *testing.F) {
 	for _, m := range []coordinator.Message{
-		{Beat: &member.Beat{VM: "v2", Boot: 3, Heard: []member.Heard{{VM: "v1", Age: -1}}}},
+		{Beat: &member.Heartbeat{VM: "v2", Boot: 3, Heard: []member.HeardVM{{VM: "v1", AgeMillis: -1}}}},
 		{Asks: []lender.Ask{{Name: "e1", Seq: 1 << 60, Used: 1 << 62, Want: 1 << 62, Fence: 1, Ack: 1 << 60}}},
 		{Loans: []lender.Loan{{Name: "e1", Fence: 1 << 60, Seq: 1, Echo: 1, Life: 1 << 40, Boot: 1, Slots: 1 << 40}}},
 		{Table: []lender.Table{{Name: "e1", Fence: 1, Unknown: -1 << 62}}, Told: []coordinator.Told{{Name: "e1"}}},
--- a/entry/process/coordinator/memo.go
+++ b/entry/process/coordinator/memo.go
@@ -37,7 +37,7 @@
 func (d *duty) look(members []member.Member) {
 	may := make([]member.Member, 0, len(members))
 	for _, m := range members {
-		if member.May(m) {
+		if member.CanHold(m) {
 			may = append(may, member.Member{VM: m.VM, Boot: m.Boot})
 		}
 	}
@@ -51,7 +51,7 @@
 func (d *duty) should(name string) (string, uint64) {
 	w, ok := d.holders[name]
 	if !ok {
-		w.VM, w.Boot = member.Should(name, d.members)
+		w.VM, w.Boot = member.PreferredHolder(name, d.members)
 		d.holders[name] = w
 	}
 	return w.VM, w.Boot
--- a/entry/process/coordinator/message.go
+++ b/entry/process/coordinator/message.go
@@ -9,10 +9,10 @@
 // A Message is what one VM tells another at one moment; parts that are empty
 // are not sent.
 type Message struct {
-	Beat  *member.Beat   `cbor:"1,keyasint,omitempty"`
-	Asks  []lender.Ask   `cbor:"2,keyasint,omitempty"`
-	Loans []lender.Loan  `cbor:"3,keyasint,omitempty"`
-	Table []lender.Table `cbor:"4,keyasint,omitempty"`
+	Beat  *member.Heartbeat `cbor:"1,keyasint,omitempty"`
+	Asks  []lender.Ask      `cbor:"2,keyasint,omitempty"`
+	Loans []lender.Loan     `cbor:"3,keyasint,omitempty"`
+	Table []lender.Table    `cbor:"4,keyasint,omitempty"`
 	// Told acknowledges tables by upstream and fence.
 	Told []Told `cbor:"5,keyasint,omitempty"`
 	// Clear names stopped processes that have nothing running any more.
--- a/entry/process/coordinator/node.go
+++ b/entry/process/coordinator/node.go
@@ -94,7 +94,7 @@
 		c: c,
 		members: member.New(member.Config{
 			VM: c.VM, Zone: c.Zone, Address: c.Address, Boot: c.Boot,
-			Suspect: t.Suspect, Dead: t.Dead, Absent: t.Absent,
+			SuspectAfter: t.Suspect, GoneAfter: t.Dead, AbsentAfter: t.Absent,
 		}),
 		claims: claimer.New(claimer.Config{
 			VM: c.VM, Boot: c.Boot, Zone: c.Zone, Address: c.Address, Lease: t.Lease, Life: t.Life, Drift: t.Drift, Keep: t.Keep,
@@ -160,7 +160,7 @@
 	defer n.mu.Unlock()
 	n.claims.Read(began, now, b)
 	for _, m := range n.claims.Met() {
-		n.members.Met(now, m.VM, m.Zone, m.Address, m.Boot)
+		n.members.AddClaimant(now, m.VM, m.Zone, m.Address, m.Boot)
 	}
 }
 
@@ -168,7 +168,7 @@
 func (n *Node) List(now time.Time, list []lister.VM) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.members.List(now, list)
+	n.members.ApplyList(now, list)
 }
 
 // Handle takes in a message. It returns whether something is to be sent soon
@@ -177,7 +177,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if m.Beat != nil && m.Beat.VM == from.VM && m.Beat.Boot == from.Boot {
-		n.members.Beat(now, *m.Beat)
+		n.members.ReceiveHeartbeat(now, *m.Beat)
 	}
 	for _, a := range m.Asks {
 		if u := n.get(a.Name); u != nil && u.lender != nil {
@@ -226,7 +226,7 @@
 // process that may still run is not believed to be cleared.
 func (n *Node) clear(c Clear) {
 	u := n.get(c.Name)
-	if u != nil && u.lender != nil && n.members.Absent(n.last, c.VM, c.Boot) {
+	if u != nil && u.lender != nil && n.members.IsAbsent(n.last, c.VM, c.Boot) {
 		u.lender.Cleared(lender.Who{VM: c.VM, Boot: c.Boot})
 	}
 }
--- a/entry/process/coordinator/query.go
+++ b/entry/process/coordinator/query.go
@@ -6,7 +6,7 @@
 func (n *Node) Gone(now time.Time, vm string, boot uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.members.Absent(now, vm, boot)
+	return n.members.IsAbsent(now, vm, boot)
 }
 
 // Holder names the VM whose claim to an upstream is in force.
--- a/entry/process/coordinator/tick.go
+++ b/entry/process/coordinator/tick.go
@@ -58,9 +58,9 @@
 
 func (n *Node) facts(now time.Time) claimer.Facts {
 	return claimer.Facts{
-		Live:      func(vm string, boot uint64) bool { return n.members.Live(now, vm, boot) },
+		Live:      func(vm string, boot uint64) bool { return n.members.IsLive(now, vm, boot) },
 		Should:    n.duty.should,
-		Absent:    func(vm string, boot uint64) bool { return n.members.Absent(now, vm, boot) },
+		Absent:    func(vm string, boot uint64) bool { return n.members.IsAbsent(now, vm, boot) },
 		Upstreams: n.names,
 		Seats:     n.seats,
 		Leaving:   n.leaving,
@@ -113,7 +113,7 @@
 		if u.lender != nil {
 			shares := make(map[lender.Who]int, len(seats))
 			for k, s := range seats {
-				if n.members.Absent(now, s.VM, s.Boot) {
+				if n.members.IsAbsent(now, s.VM, s.Boot) {
 					// Nobody may have come to take the seat of a stopped VM; its
 					// share is lent like the rest.
 					continue
@@ -194,9 +194,9 @@
 	if n.c.Version != nil {
 		version = n.c.Version()
 	}
-	b := n.members.Own(now, version)
+	b := n.members.OwnHeartbeat(now, version)
 	turn := uint64(now.UnixNano()) / uint64(turnTime)
-	for _, m := range member.Peers(n.c.VM, members, few, turn) {
+	for _, m := range member.HeartbeatPeers(n.c.VM, members, few, turn) {
 		out.to(m.VM).Beat = &b
 	}
 	for _, m := range out {
--- a/entry/process/gossiper/gossiper.go
+++ b/entry/process/gossiper/gossiper.go
@@ -29,10 +29,10 @@
 	// spreadAfter is how long a change of what VMs share waits for others that come
 	// with it: an upstream that dies breaks many streams at once.
 	spreadAfter = 5 * time.Millisecond
-	// BeatEvery is how often a VM tells that it lives, and how far it has read,
+	// HeartbeatInterval is how often a VM tells that it lives, and how far it has read,
 	// and rollEvery how often relays tell which VMs live.
-	BeatEvery = 250 * time.Millisecond
-	rollEvery = time.Second
+	HeartbeatInterval = 250 * time.Millisecond
+	rollEvery         = time.Second
 	// standingEvery is how often a VM that does not relay tells the relays all that is
 	// shared, in parts: what it found out alone may never have come to them.
 	standingEvery = 5 * time.Second
@@ -44,7 +44,7 @@
 	silent    = 1500 * time.Millisecond
 	goneAfter = 8 * time.Second
 	// relayDelay is by how much later a VM is heard of that is heard through a relay.
-	relayDelay = rollEvery + BeatEvery
+	relayDelay = rollEvery + HeartbeatInterval
 	// forgotten is after how long an address without a word is tried no more,
 	// and rareEvery how often a silent one is tried until then.
 	forgotten = 3 * time.Minute
@@ -66,17 +66,17 @@
 	Subscribe(every time.Duration, call func(time.Time)) (stop func())
 }
 
-// A Shared is what all VMs know together, which each may change. It is told as the
+// A SharedState is what all VMs know together, which each may change. It is told as the
 // present state, in parts that fit a datagram each, and taken in any order.
-type Shared interface {
-	// Fresh is what changed and is still to be told, with own only what this VM found
+type SharedState interface {
+	// PendingChanges is what changed and is still to be told, with own only what this VM found
 	// out itself.
-	Fresh(own bool) [][]byte
-	// InTurn is a part of all, another each time, and All is all of it.
-	InTurn() [][]byte
+	PendingChanges(own bool) [][]byte
+	// NextPart is a part of all, another each time, and All is all of it.
+	NextPart() [][]byte
 	All() [][]byte
-	// Take takes a part in, and says whether it was news.
-	Take(data []byte) (news bool)
+	// Merge takes a part in, and says whether it was news.
+	Merge(data []byte) (news bool)
 }
 
 // A Gossiper is one VM's side of the exchange.
@@ -86,7 +86,7 @@
 	sender Sender
 	now    func() time.Time
 	log    zerolog.Logger
-	ends   func() map[string]End
+	ends   func() map[string]StreamPosition
 
 	mu    sync.Mutex
 	began time.Time
@@ -109,7 +109,7 @@
 	// listens.
 	ahead func()
 	// shared is what all VMs know together; nil where they share nothing.
-	shared Shared
+	shared SharedState
 	timer  Timer
 	// partAt is when it last told a part of all.
 	partAt time.Time
@@ -120,15 +120,15 @@
 
 // New returns a Gossiper of one run of a VM's process. ends tells how far it has
 // read each stream of records.
-func New(me allocator.Member, boot int64, s Sender, ends func() map[string]End, now func() time.Time, log zerolog.Logger) *Gossiper {
+func New(me allocator.Member, boot int64, s Sender, ends func() map[string]StreamPosition, now func() time.Time, log zerolog.Logger) *Gossiper {
 	return &Gossiper{
 		me: me, boot: boot, sender: s, now: now, log: log, ends: ends, began: now(),
 		peers: make(map[netip.AddrPort]*peer), named: make(map[uint32]*peer),
 	}
 }
 
-// Meet notes a VM that need not live.
-func (g *Gossiper) Meet(m allocator.Member) {
+// AddPeer notes a VM that need not live.
+func (g *Gossiper) AddPeer(m allocator.Member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.meet(m)
@@ -157,7 +157,7 @@
 // for this one while this one waits for it.
 func (g *Gossiper) Tick(now time.Time) {
 	g.mu.Lock()
-	due := now.Sub(g.beatAt) >= BeatEvery
+	due := now.Sub(g.beatAt) >= HeartbeatInterval
 	if due {
 		g.beatAt = now
 	}
@@ -171,7 +171,7 @@
 	g.beat(now, ends)
 }
 
-func (g *Gossiper) beat(now time.Time, ends map[string]End) {
+func (g *Gossiper) beat(now time.Time, ends map[string]StreamPosition) {
 	m := g.report(now, ends)
 	for _, end := range ends {
 		if end.Failing {
@@ -227,10 +227,10 @@
 	g.send(now, m, func(p *peer) bool { return p.tried.IsZero() && p.direct.IsZero() })
 }
 
-// Greet tells the VMs that this process knows by name only that it is there, and
+// SendHello tells the VMs that this process knows by name only that it is there, and
 // they answer. After a restart of many VMs each asks for places within
 // milliseconds, and until a leader has heard of those that ask it serves none.
-func (g *Gossiper) Greet() {
+func (g *Gossiper) SendHello() {
 	ends := g.ends()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -238,9 +238,9 @@
 	g.greet(now, g.report(now, ends))
 }
 
-// Publish tells the VMs of this zone at once how far this one has read: those that
+// PublishOffsets tells the VMs of this zone at once how far this one has read: those that
 // start now know nothing until then.
-func (g *Gossiper) Publish() {
+func (g *Gossiper) PublishOffsets() {
 	ends := g.ends()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -260,22 +260,22 @@
 }
 
 // report is what this VM says of itself, and how far it has read.
-func (g *Gossiper) report(now time.Time, ends map[string]End) message {
+func (g *Gossiper) report(now time.Time, ends map[string]StreamPosition) message {
 	m := g.message()
 	m.Streams = wireStreams(now, ends)
 	return m
 }
 
-// Listen has a function called when another VM turns out to have read on. It is
+// OnPeerAhead has a function called when another VM turns out to have read on. It is
 // called once, before the Gossiper is used.
-func (g *Gossiper) Listen(ahead func()) { g.ahead = ahead }
+func (g *Gossiper) OnPeerAhead(ahead func()) { g.ahead = ahead }
 
-func wireStreams(now time.Time, ends map[string]End) []wireStream {
+func wireStreams(now time.Time, ends map[string]StreamPosition) []wireStream {
 	var streams []wireStream
 	for name, end := range ends {
 		w := wireStream{Name: name, End: end.Offset, Age: unconfirmed, Failing: end.Failing}
-		if !end.AsOf.IsZero() {
-			w.Age = now.Sub(end.AsOf).Milliseconds()
+		if !end.ConfirmedAt.IsZero() {
+			w.Age = now.Sub(end.ConfirmedAt).Milliseconds()
 		}
 		streams = append(streams, w)
 	}
@@ -328,16 +328,16 @@
 
 func everybody(*peer) bool { return true }
 
-// Leave tells the others that this VM is about to stop, and leads nobody.
-func (g *Gossiper) Leave() {
+// AnnounceLeaving tells the others that this VM is about to stop, and leads nobody.
+func (g *Gossiper) AnnounceLeaving() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.me.Leaving = true
 	g.send(g.now(), g.message(), everybody)
 }
 
-// Bye tells the others that this process ends.
-func (g *Gossiper) Bye() {
+// AnnounceExit tells the others that this process ends.
+func (g *Gossiper) AnnounceExit() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.message()
--- a/entry/process/gossiper/gossiper_test.go
+++ b/entry/process/gossiper/gossiper_test.go
@@ -17,7 +17,7 @@
 type network struct {
 	now   time.Time
 	nodes map[netip.AddrPort]*gossiper.Gossiper
-	ends  map[netip.AddrPort]map[string]gossiper.End
+	ends  map[netip.AddrPort]map[string]gossiper.StreamPosition
 	queue []datagram
 	lose  bool
 	// zone is that of the VMs that are added next.
@@ -60,15 +60,15 @@
 
 func (n *network) add(i byte, boot int64, ends map[string]int64) *gossiper.Gossiper {
 	a := address(i)
-	read := map[string]gossiper.End{}
+	read := map[string]gossiper.StreamPosition{}
 	for stream, end := range ends {
-		read[stream] = gossiper.End{Offset: end, AsOf: n.now.Add(-time.Second)}
+		read[stream] = gossiper.StreamPosition{Offset: end, ConfirmedAt: n.now.Add(-time.Second)}
 	}
 	n.ends[a] = read
 	if n.zone != "" {
 		n.zones[i] = n.zone
 	}
-	g := gossiper.New(n.member(i), boot, wire{n, a}, func() map[string]gossiper.End { return read }, func() time.Time { return n.now }, zerolog.Nop())
+	g := gossiper.New(n.member(i), boot, wire{n, a}, func() map[string]gossiper.StreamPosition { return read }, func() time.Time { return n.now }, zerolog.Nop())
 	n.nodes[a] = g
 	return g
 }
@@ -94,7 +94,7 @@
 }
 
 func newNetwork() *network {
-	return &network{now: time.Unix(1_000_000, 0), nodes: map[netip.AddrPort]*gossiper.Gossiper{}, sent: map[netip.AddrPort]int{}, ends: map[netip.AddrPort]map[string]gossiper.End{}, zones: map[byte]string{}}
+	return &network{now: time.Unix(1_000_000, 0), nodes: map[netip.AddrPort]*gossiper.Gossiper{}, sent: map[netip.AddrPort]int{}, ends: map[netip.AddrPort]map[string]gossiper.StreamPosition{}, zones: map[byte]string{}}
 }
 
 // A VM dies and says nothing. It must not be asked for anything soon after; but it
@@ -103,15 +103,15 @@
 func TestSilentVMIsNotAskedBeforeItIsForgotten(t *testing.T) {
 	n := newNetwork()
 	a, b := n.add(1, 1, nil), n.add(2, 1, nil)
-	a.Meet(n.member(2))
+	a.AddPeer(n.member(2))
 	n.run(4 * time.Second)
-	assert.DeepEqual(t, b.Members(), []allocator.Member{{VM: "vm1", Address: address(1), Zone: "z", Cores: 0.5}}, cmpopts.EquateComparable(netip.AddrPort{}))
+	assert.DeepEqual(t, b.ReachableMembers(), []allocator.Member{{VM: "vm1", Address: address(1), Zone: "z", Cores: 0.5}}, cmpopts.EquateComparable(netip.AddrPort{}))
 	delete(n.nodes, address(1))
 	n.run(2 * time.Second)
-	assert.Equal(t, len(b.Members()), 0)
-	assert.DeepEqual(t, b.VMs(), []string{"vm1", "vm2"})
+	assert.Equal(t, len(b.ReachableMembers()), 0)
+	assert.DeepEqual(t, b.LiveVMs(), []string{"vm1", "vm2"})
 	n.run(8 * time.Second)
-	assert.DeepEqual(t, b.VMs(), []string{"vm2"})
+	assert.DeepEqual(t, b.LiveVMs(), []string{"vm2"})
 }
 
 // A VM that says that it is about to stop leads nobody from then on, also where
@@ -120,26 +120,26 @@
 func TestLeavingAndReturningVMs(t *testing.T) {
 	n := newNetwork()
 	a, b := n.add(1, 1, nil), n.add(2, 1, nil)
-	a.Meet(n.member(2))
+	a.AddPeer(n.member(2))
 	n.run(4 * time.Second)
 	a.Tick(n.now.Add(time.Second))
 	stale := n.queue
 	n.queue = nil
-	a.Leave()
+	a.AnnounceLeaving()
 	n.deliver()
-	assert.Assert(t, b.Members()[0].Leaving)
+	assert.Assert(t, b.ReachableMembers()[0].Leaving)
 	n.queue = stale
 	n.deliver()
-	assert.Assert(t, b.Members()[0].Leaving)
-	a.Bye()
+	assert.Assert(t, b.ReachableMembers()[0].Leaving)
+	a.AnnounceExit()
 	n.deliver()
 	n.now = n.now.Add(time.Second)
-	assert.DeepEqual(t, b.VMs(), []string{"vm2"})
+	assert.DeepEqual(t, b.LiveVMs(), []string{"vm2"})
 	again := n.add(1, 2, nil)
-	again.Meet(n.member(2))
+	again.AddPeer(n.member(2))
 	n.run(time.Second)
-	assert.Assert(t, !b.Members()[0].Leaving)
-	assert.DeepEqual(t, b.VMs(), []string{"vm1", "vm2"})
+	assert.Assert(t, !b.ReachableMembers()[0].Leaving)
+	assert.DeepEqual(t, b.LiveVMs(), []string{"vm1", "vm2"})
 }
 
 // A process that has just started knows no other. If it took the whole of each
@@ -147,9 +147,9 @@
 func TestNewProcessAssumesOthers(t *testing.T) {
 	n := newNetwork()
 	a := n.add(1, 1, nil)
-	assert.Assert(t, len(a.VMs()) >= 9)
+	assert.Assert(t, len(a.LiveVMs()) >= 9)
 	n.run(4 * time.Second)
-	assert.DeepEqual(t, a.VMs(), []string{"vm1"})
+	assert.DeepEqual(t, a.LiveVMs(), []string{"vm1"})
 }
 
 // The platform refuses this VM and serves another: that one is ahead, and has
@@ -159,15 +159,15 @@
 	a := n.add(1, 1, map[string]int64{"s": 5})
 	n.add(2, 1, map[string]int64{"s": 9})
 	n.add(3, 1, map[string]int64{"s": 7})
-	a.Meet(n.member(2))
-	a.Meet(n.member(3))
+	a.AddPeer(n.member(2))
+	a.AddPeer(n.member(3))
 	n.run(time.Second)
-	at, ok := a.Ahead("s", 5)
+	at, ok := a.MostAdvancedPeer("s", 5)
 	assert.Assert(t, ok)
 	assert.Equal(t, at, address(2))
-	_, ok = a.Ahead("s", 9)
+	_, ok = a.MostAdvancedPeer("s", 9)
 	assert.Assert(t, !ok)
-	_, ok = a.Ahead("other", 0)
+	_, ok = a.MostAdvancedPeer("other", 0)
 	assert.Assert(t, !ok)
 }
 
@@ -178,23 +178,23 @@
 	var all []*gossiper.Gossiper
 	for i := range 5 {
 		g := n.add(byte(1+i), 1, nil)
-		assert.Assert(t, g.Duty() == gossiper.Reads, "it has heard of nobody")
-		g.Meet(n.member(1))
-		g.Meet(n.member(2))
+		assert.Assert(t, g.ReadRole() == gossiper.Reader, "it has heard of nobody")
+		g.AddPeer(n.member(1))
+		g.AddPeer(n.member(2))
 		all = append(all, g)
 	}
 	n.run(200 * time.Millisecond)
 	for i, g := range all {
 		for j := range all {
 			if i != j {
-				g.Meet(n.member(byte(1 + j)))
+				g.AddPeer(n.member(byte(1 + j)))
 			}
 		}
 	}
 	n.run(4 * time.Second)
 	reader := -1
 	for i, g := range all {
-		if g.Duty() == gossiper.Reads {
+		if g.ReadRole() == gossiper.Reader {
 			assert.Equal(t, reader, -1, "two read")
 			reader = i
 		}
@@ -204,7 +204,7 @@
 	n.run(2 * time.Second)
 	readers := 0
 	for i, g := range all {
-		if i != reader && g.Duty() == gossiper.Reads {
+		if i != reader && g.ReadRole() == gossiper.Reader {
 			readers++
 		}
 	}
@@ -217,21 +217,21 @@
 func TestVMThatIsTurnedAwayReadsForNobody(t *testing.T) {
 	n := newNetwork()
 	all := []*gossiper.Gossiper{n.add(1, 1, nil), n.add(2, 1, nil)}
-	all[0].Meet(n.member(2))
+	all[0].AddPeer(n.member(2))
 	n.run(1200 * time.Millisecond)
 	reader := 0
-	if all[1].Duty() == gossiper.Reads {
+	if all[1].ReadRole() == gossiper.Reader {
 		reader = 1
 	}
-	assert.Assert(t, all[reader].Duty() == gossiper.Reads && all[1-reader].Duty() != gossiper.Reads)
+	assert.Assert(t, all[reader].ReadRole() == gossiper.Reader && all[1-reader].ReadRole() != gossiper.Reader)
 	ends := n.ends[address(byte(1+reader))]
-	ends["s"] = gossiper.End{Failing: true}
+	ends["s"] = gossiper.StreamPosition{Failing: true}
 	n.run(300 * time.Millisecond)
-	assert.Assert(t, all[1-reader].Duty() == gossiper.Reads)
-	assert.Assert(t, all[reader].Duty() == gossiper.Reads, "it has to learn that it is served again")
+	assert.Assert(t, all[1-reader].ReadRole() == gossiper.Reader)
+	assert.Assert(t, all[reader].ReadRole() == gossiper.Reader, "it has to learn that it is served again")
 	delete(ends, "s")
 	n.run(300 * time.Millisecond)
-	assert.Assert(t, all[1-reader].Duty() != gossiper.Reads)
+	assert.Assert(t, all[1-reader].ReadRole() != gossiper.Reader)
 }
 
 // What a peer confirms holds for whoever has read as far, and is as old as it
@@ -240,11 +240,11 @@
 	n := newNetwork()
 	a := n.add(1, 1, nil)
 	n.add(2, 1, map[string]int64{"s": 9})
-	a.Meet(n.member(2))
+	a.AddPeer(n.member(2))
 	began := n.now
 	n.run(300 * time.Millisecond)
-	assert.Assert(t, a.Confirmed("s", 8).IsZero(), "there is more than that")
-	at := a.Confirmed("s", 9)
+	assert.Assert(t, a.ConfirmedAt("s", 8).IsZero(), "there is more than that")
+	at := a.ConfirmedAt("s", 9)
 	assert.Assert(t, at.Sub(began.Add(-time.Second)).Abs() < 60*time.Millisecond, "%v", at.Sub(began))
 }
 
@@ -267,7 +267,7 @@
 	}
 	for _, g := range all {
 		for i := range zones * each {
-			g.Meet(n.member(1 + i))
+			g.AddPeer(n.member(1 + i))
 		}
 	}
 	return all
@@ -291,13 +291,13 @@
 	// own, sixteen times in four seconds.
 	assert.Assert(t, sum <= 16*zones*(2*each+2*each+2*2*(zones-1)), "%d datagrams", sum)
 	for i, g := range all {
-		assert.Equal(t, len(g.Members()), zones*each-1, "VM %d", i)
-		assert.Equal(t, len(g.VMs()), zones*each)
+		assert.Equal(t, len(g.ReachableMembers()), zones*each-1, "VM %d", i)
+		assert.Equal(t, len(g.LiveVMs()), zones*each)
 	}
 	delete(n.nodes, address(7))
 	n.run(6 * time.Second)
 	for _, i := range []int{0, 25, 59} {
-		assert.Equal(t, len(all[i].Members()), zones*each-2, "VM %d", i)
+		assert.Equal(t, len(all[i].ReachableMembers()), zones*each-2, "VM %d", i)
 	}
 }
 
@@ -311,7 +311,7 @@
 	dead := map[int]bool{}
 	for range 2 {
 		for i, g := range all[:each] {
-			if !dead[i] && g.Duty() == gossiper.Reads {
+			if !dead[i] && g.ReadRole() == gossiper.Reader {
 				dead[i] = true
 				delete(n.nodes, address(byte(1+i)))
 			}
@@ -325,8 +325,8 @@
 		if dead[i] {
 			continue
 		}
-		assert.Equal(t, len(g.Members()), zones*each-3, "VM %d", i)
-		if i < each && g.Duty() == gossiper.Reads {
+		assert.Equal(t, len(g.ReachableMembers()), zones*each-3, "VM %d", i)
+		if i < each && g.ReadRole() == gossiper.Reader {
 			readers++
 		}
 	}
@@ -342,14 +342,14 @@
 	all := fleet(n, zones, each)
 	n.run(3 * time.Second)
 	for i := range byte(each) {
-		n.ends[address(1+i)]["s"] = gossiper.End{Offset: 0, Failing: true}
-		n.ends[address(1+each+i)]["s"] = gossiper.End{Offset: 9, AsOf: n.now}
+		n.ends[address(1+i)]["s"] = gossiper.StreamPosition{Offset: 0, Failing: true}
+		n.ends[address(1+each+i)]["s"] = gossiper.StreamPosition{Offset: 9, ConfirmedAt: n.now}
 	}
 	n.run(time.Second)
 	for i, g := range all[:each] {
-		at, ok := g.Ahead("s", 5)
+		at, ok := g.MostAdvancedPeer("s", 5)
 		assert.Assert(t, ok && at.Compare(address(each)) > 0, "VM %d asks %v", i, at)
-		assert.Assert(t, n.now.Sub(g.Answered("s")) < 1200*time.Millisecond, "%v", n.now.Sub(g.Answered("s")))
+		assert.Assert(t, n.now.Sub(g.LastConfirmed("s")) < 1200*time.Millisecond, "%v", n.now.Sub(g.LastConfirmed("s")))
 	}
 }
 
@@ -362,13 +362,13 @@
 	n.lose = true
 	n.run(time.Second)
 	n.lose = false
-	assert.Equal(t, len(all[0].Members()), 14)
+	assert.Equal(t, len(all[0].ReachableMembers()), 14)
 	n.lose = true
 	n.run(6 * time.Second)
-	assert.Equal(t, len(all[0].Members()), 0)
+	assert.Equal(t, len(all[0].ReachableMembers()), 0)
 	n.lose = false
 	n.run(5 * time.Second)
-	assert.Equal(t, len(all[0].Members()), 14)
+	assert.Equal(t, len(all[0].ReachableMembers()), 14)
 }
 
 // All processes of a fleet end, and those that start again know nobody, as the
@@ -380,5 +380,5 @@
 	n.zone = ""
 	again := n.add(3, 2, nil)
 	n.run(4 * time.Second)
-	assert.Equal(t, len(again.Members()), 7)
+	assert.Equal(t, len(again.ReachableMembers()), 7)
 }
--- a/entry/process/gossiper/known.go
+++ b/entry/process/gossiper/known.go
@@ -8,12 +8,12 @@
 	"github.com/heathervane/heathervane/entry/process/allocator"
 )
 
-// Members are the other VMs that can be heard.
-func (g *Gossiper) Members() []allocator.Member {
+// ReachableMembers are the other VMs that can be heard.
+func (g *Gossiper) ReachableMembers() []allocator.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if g.members != nil && now.Sub(g.membersAt) < BeatEvery {
+	if g.members != nil && now.Sub(g.membersAt) < HeartbeatInterval {
 		return g.members
 	}
 	members := make([]allocator.Member, 0, len(g.peers))
@@ -26,12 +26,12 @@
 	return members
 }
 
-// VMs are the names of the VMs that live, this one included, in order.
-func (g *Gossiper) VMs() []string {
+// LiveVMs are the names of the LiveVMs that live, this one included, in order.
+func (g *Gossiper) LiveVMs() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if now.Sub(g.vmsAt) < BeatEvery && g.vms != nil {
+	if now.Sub(g.vmsAt) < HeartbeatInterval && g.vms != nil {
 		return g.vms
 	}
 	settles := now.Sub(g.began) < settling
@@ -49,10 +49,10 @@
 	return g.vms
 }
 
-// Fleet is how many VMs there may be, this one included: those that were heard a
+// FleetSize is how many VMs there may be, this one included: those that were heard a
 // while ago may be cut off, and go on sending to upstreams.
-func (g *Gossiper) Fleet() int {
-	assumed := len(g.VMs())
+func (g *Gossiper) FleetSize() int {
+	assumed := len(g.LiveVMs())
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -65,20 +65,20 @@
 	return max(assumed, known)
 }
 
-// An End is how far a stream of records has been read, when the platform
+// An StreamPosition is how far a stream of records has been read, when the platform
 // confirmed it to this VM itself, zero where it never did, and whether the last
 // reading failed. What others confirmed is not told on: with each VM that it
 // passed it would seem younger by the time on its way, and VMs that all hear
 // nothing would keep one another sure.
-type End struct {
-	Offset  int64
-	AsOf    time.Time
-	Failing bool
+type StreamPosition struct {
+	Offset      int64
+	ConfirmedAt time.Time
+	Failing     bool
 }
 
-// Confirmed is when the platform last confirmed, to a VM that can be heard, that
+// ConfirmedAt is when the platform last confirmed, to a VM that can be heard, that
 // a stream went no further than an offset.
-func (g *Gossiper) Confirmed(stream string, offset int64) (asOf time.Time) {
+func (g *Gossiper) ConfirmedAt(stream string, offset int64) (asOf time.Time) {
 	g.readings(stream, func(_ *peer, r reading) {
 		if r.end <= offset {
 			asOf = latest(asOf, r.asOf)
@@ -87,17 +87,17 @@
 	return asOf
 }
 
-// Answered is when the platform last confirmed any offset of a stream to a VM that
+// LastConfirmed is when the platform last confirmed any offset of a stream to a VM that
 // can be heard.
-func (g *Gossiper) Answered(stream string) (at time.Time) {
+func (g *Gossiper) LastConfirmed(stream string) (at time.Time) {
 	g.readings(stream, func(_ *peer, r reading) { at = latest(at, r.asOf) })
 	return at
 }
 
-// Ahead is the VM that has read most of a stream beyond an offset, among those
+// MostAdvancedPeer is the VM that has read most of a stream beyond an offset, among those
 // that can be heard; one of this zone where there is any, as bytes between zones
 // are dear.
-func (g *Gossiper) Ahead(stream string, than int64) (at netip.AddrPort, ok bool) {
+func (g *Gossiper) MostAdvancedPeer(stream string, than int64) (at netip.AddrPort, ok bool) {
 	var best int64
 	near := false
 	g.readings(stream, func(p *peer, r reading) {
--- a/entry/process/gossiper/relay.go
+++ b/entry/process/gossiper/relay.go
@@ -26,16 +26,16 @@
 	return now.Sub(latest(p.heard, p.known)) <= g.quietFor(p, now)
 }
 
-// A Duty is what a VM does about the platform's records.
-type Duty int
+// A ReadRole is what a VM does about the platform's records.
+type ReadRole int
 
 const (
-	// Follows is to take them from the VMs that read.
-	Follows Duty = iota
-	// StandsBy is to read where those have nothing fresh.
-	StandsBy
-	// Reads is to read for the zone.
-	Reads
+	// Follower is to take them from the VMs that read.
+	Follower ReadRole = iota
+	// Standby is to read where those have nothing fresh.
+	Standby
+	// Reader is to read for the zone.
+	Reader
 )
 
 // standBy is how many VMs of a zone read where the one that should has nothing
@@ -43,10 +43,10 @@
 // tries would be one more call that it has to refuse.
 const standBy = 3
 
-// Duty is this VM's: the first of its zone reads that lives and that the platform
+// ReadRole is this VM's: the first of its zone reads that lives and that the platform
 // serves, in the order in which VMs lead. Where it serves none of them, one after
 // the other tries.
-func (g *Gossiper) Duty() Duty {
+func (g *Gossiper) ReadRole() ReadRole {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -62,17 +62,17 @@
 	}
 	switch {
 	case served == 0 && (before < standBy || !g.refusedLately(now)):
-		return Reads
+		return Reader
 	case before < standBy:
-		return StandsBy
+		return Standby
 	}
-	return Follows
+	return Follower
 }
 
-// ReadsAtStart says that no VM of this zone that has been heard, and that the platform
+// ShouldReadAtStart says that no VM of this zone that has been heard, and that the platform
 // serves, reads rather than this one. It is for a process that knows nothing yet:
 // those that it knows by name only may all be starting as well, or be gone.
-func (g *Gossiper) ReadsAtStart() bool {
+func (g *Gossiper) ShouldReadAtStart() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
--- a/entry/process/gossiper/restart_test.go
+++ b/entry/process/gossiper/restart_test.go
@@ -37,9 +37,9 @@
 			if a := address(byte(i + 1)); running[a] == nil && n.now.Sub(began) >= at {
 				running[a] = n.add(byte(i+1), int64(i+1), nil)
 				for j := range starts {
-					running[a].Meet(n.member(byte(j + 1)))
+					running[a].AddPeer(n.member(byte(j + 1)))
 				}
-				running[a].Greet()
+				running[a].SendHello()
 			}
 		}
 		kept := n.queue[:0]
@@ -53,7 +53,7 @@
 		whole := len(running) == len(starts)
 		for _, g := range running {
 			g.Tick(n.now)
-			whole = whole && len(g.Members()) == len(starts)-1
+			whole = whole && len(g.ReachableMembers()) == len(starts)-1
 		}
 		if whole {
 			return n.now.Sub(began) - last
@@ -93,17 +93,17 @@
 	a := n.add(1, 1, nil)
 	b := n.add(2, 1, nil)
 	woken := 0
-	b.Listen(func() { woken++ })
-	b.Meet(n.member(1))
-	b.Greet()
+	b.OnPeerAhead(func() { woken++ })
+	b.AddPeer(n.member(1))
+	b.SendHello()
 	n.deliver()
 	n.deliver()
-	_, ok := b.Ahead("s", 0)
+	_, ok := b.MostAdvancedPeer("s", 0)
 	assert.Assert(t, !ok)
-	n.ends[address(1)]["s"] = gossiper.End{Offset: 5, AsOf: n.now}
-	a.Publish()
+	n.ends[address(1)]["s"] = gossiper.StreamPosition{Offset: 5, ConfirmedAt: n.now}
+	a.PublishOffsets()
 	n.deliver()
-	from, ok := b.Ahead("s", 0)
+	from, ok := b.MostAdvancedPeer("s", 0)
 	assert.Assert(t, ok)
 	assert.Equal(t, from, address(1))
 	assert.Equal(t, woken, 1)
@@ -116,12 +116,12 @@
 	a, b := n.add(1, 1, nil), n.add(2, 1, nil)
 	for _, g := range []*gossiper.Gossiper{a, b} {
 		for i := range byte(9) {
-			g.Meet(n.member(i + 1))
+			g.AddPeer(n.member(i + 1))
 		}
 	}
-	assert.Assert(t, a.ReadsAtStart() && b.ReadsAtStart())
-	a.Greet()
+	assert.Assert(t, a.ShouldReadAtStart() && b.ShouldReadAtStart())
+	a.SendHello()
 	n.deliver()
 	n.deliver()
-	assert.Assert(t, a.ReadsAtStart() != b.ReadsAtStart())
+	assert.Assert(t, a.ShouldReadAtStart() != b.ShouldReadAtStart())
 }
--- a/entry/process/gossiper/share.go
+++ b/entry/process/gossiper/share.go
@@ -7,13 +7,13 @@
 	"github.com/heathervane/heathervane/entry/process/allocator"
 )
 
-// Share has this VM tell the others of something that all know together, and take
+// SetSharedState has this VM tell the others of something that all know together, and take
 // in what they tell. It is called once, before the Gossiper is used.
-func (g *Gossiper) Share(s Shared, t Timer) { g.shared, g.timer = s, t }
+func (g *Gossiper) SetSharedState(s SharedState, t Timer) { g.shared, g.timer = s, t }
 
-// Spread tells other VMs soon what changed of that. The next beats tell it again, as
+// ScheduleBroadcast tells other VMs soon what changed of that. The next beats tell it again, as
 // datagrams get lost.
-func (g *Gossiper) Spread() {
+func (g *Gossiper) ScheduleBroadcast() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.soon == nil {
@@ -39,14 +39,14 @@
 		return
 	}
 	relay := g.relays(first)
-	parts := g.shared.Fresh(!relay)
+	parts := g.shared.PendingChanges(!relay)
 	every := standingEvery
 	if relay {
 		every = rollEvery
 	}
 	if all && now.Sub(g.partAt) >= every {
 		g.partAt = now
-		parts = append(parts, g.shared.InTurn()...)
+		parts = append(parts, g.shared.NextPart()...)
 	}
 	for _, part := range parts {
 		m := g.share(part)
@@ -84,7 +84,7 @@
 
 // heed takes in what a VM told of what is shared. A relay tells it on.
 func (g *Gossiper) heed(data []byte) {
-	if g.shared != nil && len(data) > 0 && g.shared.Take(data) {
-		g.Spread()
+	if g.shared != nil && len(data) > 0 && g.shared.Merge(data) {
+		g.ScheduleBroadcast()
 	}
 }
--- a/entry/process/joiner/budget.go
+++ b/entry/process/joiner/budget.go
@@ -18,7 +18,7 @@
 func newBudget(v *Process) *budget {
 	s := v.settings.Load()
 	began := time.Now()
-	if s.Together {
+	if s.FleetBootstrap {
 		began = time.Time{}
 	}
 	return &budget{
@@ -49,7 +49,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.history.Record(now, b.process.gossiper.VMs())
+	b.history.Record(now, b.process.gossiper.LiveVMs())
 	return b.of(service).TryRetry(now, b.process.settings.Load().VM, b.history)
 }
 
@@ -57,5 +57,5 @@
 func (b *budget) note(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.history.Record(now, b.process.gossiper.VMs())
+	b.history.Record(now, b.process.gossiper.LiveVMs())
 }
--- a/entry/process/joiner/fold.go
+++ b/entry/process/joiner/fold.go
@@ -35,7 +35,7 @@
 	// staleAfter is how much older than its reading takes the list or the
 	// configuration may be before a peer is asked, or those that stand by read
 	// themselves: VMs hear of a reading with its reader's next beat.
-	staleAfter = gossiper.BeatEvery + 100*time.Millisecond
+	staleAfter = gossiper.HeartbeatInterval + 100*time.Millisecond
 	// announceAgain is the wait after this VM could not be recorded, mostAgain its
 	// bound as it doubles: relays tell of it meanwhile.
 	announceAgain = 500 * time.Millisecond
@@ -53,15 +53,15 @@
 	outage = 1500 * time.Millisecond
 )
 
-// Readings are for how long the platform holds a reading of the configuration, and
+// ReadIntervals are for how long the platform holds a reading of the configuration, and
 // how often the list of upstreams is read. Each reading is paid for, also where few
 // requests come, so that it is as rare as the bounds allow.
-func (b Bounds) Readings() (held, every time.Duration) {
-	return time.Duration(configurationShare * float64(b.Apply)), min(mostUpstreams, time.Duration(upstreamsShare*float64(b.Drain)))
+func (b Bounds) ReadIntervals() (held, every time.Duration) {
+	return time.Duration(configurationShare * float64(b.ConfigApplyTimeout)), min(mostUpstreams, time.Duration(upstreamsShare*float64(b.DrainTimeout)))
 }
 
 func (v *Process) newSyncers() {
-	held, every := v.settings.Load().Bounds.Readings()
+	held, every := v.settings.Load().Bounds.ReadIntervals()
 	for _, s := range []syncer.Stream{
 		{Name: Configuration, Wait: held, Stale: held + staleAfter, Behind: configurationBehind, Shared: true},
 		{Name: Upstreams, Every: every, Stale: every + staleAfter, Shared: true},
@@ -82,12 +82,12 @@
 // ends tells how far this VM has read. What it has read since the last record that
 // mattered changes nothing for whoever has read as far as that: upstreams write all
 // the time that they live, and each VM would fetch that from the one that reads.
-func (v *Process) ends() map[string]gossiper.End {
-	ends := make(map[string]gossiper.End, len(v.syncers))
+func (v *Process) ends() map[string]gossiper.StreamPosition {
+	ends := make(map[string]gossiper.StreamPosition, len(v.syncers))
 	for _, s := range v.syncers {
 		c := v.copies[s.Stream()]
 		if end, _ := c.End(); end > 0 || s.Failing() {
-			ends[s.Stream()] = gossiper.End{Offset: v.marks[s.Stream()].Load(), AsOf: c.ReadAt(), Failing: s.Failing()}
+			ends[s.Stream()] = gossiper.StreamPosition{Offset: v.marks[s.Stream()].Load(), ConfirmedAt: c.ReadAt(), Failing: s.Failing()}
 		}
 	}
 	return ends
@@ -102,7 +102,7 @@
 func (v *Process) configure(rs []replicator.Record, _ time.Duration) {
 	for _, r := range rs {
 		v.matters(Configuration, r)
-		c, err := v.platform.Change(r)
+		c, err := v.platform.ParseChange(r)
 		if err != nil {
 			v.log.Error().Str("key", r.Key).Int64("offset", r.Offset).Err(err).Msg("configuration record not understood")
 			continue
@@ -111,8 +111,8 @@
 			v.enforce(*c.Config, r.Offset)
 		}
 		if c.Zone != "" {
-			v.zones[c.Zone] = c.Out
-			v.takeOut(c.Zone, c.Out, r.Offset)
+			v.zones[c.Zone] = c.OutOfService
+			v.takeOut(c.Zone, c.OutOfService, r.Offset)
 		}
 	}
 	v.allocator.Dispatch()
@@ -156,7 +156,7 @@
 			}
 			continue
 		}
-		u, err := v.platform.Upstream(r)
+		u, err := v.platform.ParseUpstream(r)
 		if err != nil {
 			v.log.Warn().Str("key", r.Key).Int64("offset", r.Offset).Err(err).Msg("entry of an upstream not understood")
 			v.tracker.Remove(now, r.Key, false)
@@ -195,12 +195,12 @@
 // no list yet would refuse what it could serve a moment later.
 func (v *Process) watch() {
 	for name, c := range v.copies {
-		c.Heard(v.gossiper.Answered(name))
+		c.Heard(v.gossiper.LastConfirmed(name))
 	}
 	copied := v.copies[Upstreams]
 	behind := copied.Behind()
 	_, asOf := copied.End()
-	outdated := asOf.IsZero() || behind > time.Duration(outdatedShare*float64(v.settings.Load().Bounds.Drain))
+	outdated := asOf.IsZero() || behind > time.Duration(outdatedShare*float64(v.settings.Load().Bounds.DrainTimeout))
 	if !v.tracker.Outdate(outdated) {
 		return
 	}
@@ -214,13 +214,13 @@
 		if v.hold(r) || r.Dropped {
 			continue
 		}
-		m, err := v.platform.Peer(r)
+		m, err := v.platform.ParseMember(r)
 		if err != nil {
 			v.log.Warn().Str("key", r.Key).Err(err).Msg("record of a VM not understood")
 			continue
 		}
 		v.matters(VMs, r)
-		v.gossiper.Meet(m)
+		v.gossiper.AddPeer(m)
 		if m.VM == v.me.VM {
 			v.own.Store(&m)
 		}
@@ -240,7 +240,7 @@
 // list would be empty, and each VM would read everything for itself.
 func (v *Process) introduce(ctx context.Context) {
 	defer close(v.met)
-	if v.settings.Load().Together {
+	if v.settings.Load().FleetBootstrap {
 		v.announce(ctx)
 		wait(ctx, together)
 	}
@@ -252,7 +252,7 @@
 	} else {
 		v.copies[VMs].Complete(rs, end, time.Now())
 	}
-	v.gossiper.Greet()
+	v.gossiper.SendHello()
 	if own := v.own.Load(); own == nil || *own != v.me {
 		go v.announce(ctx)
 	}
@@ -283,7 +283,7 @@
 func (v *Process) announce(ctx context.Context) {
 	for again := announceAgain; ctx.Err() == nil; again = min(mostAgain, 2*again) {
 		short, cancel := context.WithTimeout(ctx, announceTime)
-		err := v.platform.Announce(short, v.me)
+		err := v.platform.RegisterVM(short, v.me)
 		cancel()
 		if err == nil {
 			return
@@ -315,7 +315,7 @@
 	if leads {
 		return int(part)
 	}
-	return budgeter.Quota(part, "cold "+upstream, v.settings.Load().VM, v.gossiper.VMs())
+	return budgeter.Quota(part, "cold "+upstream, v.settings.Load().VM, v.gossiper.LiveVMs())
 }
 
 // idlePart is how many idle connections this VM may keep to an upstream that accepts so
@@ -324,7 +324,7 @@
 	if connections <= 0 {
 		return 0
 	}
-	n := budgeter.IdleConnections(connections, carrier.MostIdle, upstream, v.settings.Load().VM, v.gossiper.VMs())
+	n := budgeter.IdleConnections(connections, carrier.MostIdle, upstream, v.settings.Load().VM, v.gossiper.LiveVMs())
 	if n == 0 {
 		return -1
 	}
@@ -336,5 +336,5 @@
 const leaseSpare = 600 * time.Millisecond
 
 func (v *Process) lease() time.Duration {
-	return max(time.Second, v.settings.Load().Bounds.Release-leaseSpare)
+	return max(time.Second, v.settings.Load().Bounds.ReleaseTimeout-leaseSpare)
 }
--- a/entry/process/joiner/joiner.go
+++ b/entry/process/joiner/joiner.go
@@ -50,7 +50,7 @@
 	// watchEvery is how often the copies of the platform's records are compared
 	// with what the platform has told others: a part of the time in which these
 	// say so.
-	watchEvery = gossiper.BeatEvery / 2
+	watchEvery = gossiper.HeartbeatInterval / 2
 	// sweepEvery is how often idle connections are looked at.
 	sweepEvery = time.Second
 	// bodyShare is the part of the VM's memory that request bodies may take.
@@ -64,14 +64,14 @@
 type Settings struct {
 	// VM is this VM's name and Zone its availability zone.
 	VM, Zone string
-	// Callers, Ready, Peers and Metrics are the addresses to listen on.
-	Callers, Ready, Peers, Metrics string
+	// CallersAddress, ReadyAddress, PeersAddress and MetricsAddress are the addresses to listen on.
+	CallersAddress, ReadyAddress, PeersAddress, MetricsAddress string
 	// ReadyPath is where the balancer asks whether this VM takes callers.
 	ReadyPath string
-	// Power is the part of a core that the VM has.
-	Power float64
-	// Together says that all VMs of the fleet start now, for the first time.
-	Together bool
+	// Cores is the part of a core that the VM has.
+	Cores float64
+	// FleetBootstrap says that all VMs of the fleet start now, for the first time.
+	FleetBootstrap bool
 	// Memory is the VM's memory in bytes, Descriptors how many sockets the
 	// process may have open.
 	Memory      int64
@@ -88,24 +88,24 @@
 	// ColdMultiplier and ColdSlack bound the requests a second to an upstream
 	// in cold start.
 	ColdMultiplier, ColdSlack float64
-	// Drain is how soon an upstream that leaves must get nothing more.
-	Drain time.Duration
-	// Apply is how soon a version of the configuration must be in force.
-	Apply time.Duration
-	// Grace is how long a process may go on after it is told to stop.
-	Grace time.Duration
-	// Release is how soon memory set aside at engines must be free again.
-	Release time.Duration
+	// DrainTimeout is how soon an upstream that leaves must get nothing more.
+	DrainTimeout time.Duration
+	// ConfigApplyTimeout is how soon a version of the configuration must be in force.
+	ConfigApplyTimeout time.Duration
+	// ShutdownGrace is how long a process may go on after it is told to stop.
+	ShutdownGrace time.Duration
+	// ReleaseTimeout is how soon memory set aside at engines must be free again.
+	ReleaseTimeout time.Duration
 }
 
-// A Change is what a record of the configuration says.
-type Change struct {
+// A ConfigChange is what a record of the configuration says.
+type ConfigChange struct {
 	// Config is a version of the configuration, nil where the record is none.
 	Config *matcher.Config
 	// Zone is the zone that is taken out of service or, where Out is false,
 	// brought back.
-	Zone string
-	Out  bool
+	Zone         string
+	OutOfService bool
 }
 
 // A Platform translates a platform's records and calls.
@@ -113,21 +113,21 @@
 	syncer.Source
 	reserver.EngineClient
 	relayer.Protocol
-	// Announce records this VM for the other VMs.
-	Announce(ctx context.Context, m allocator.Member) error
-	// Keep records for the other VMs that a request is held in quarantine, and Drop
+	// RegisterVM records this VM for the other VMs.
+	RegisterVM(ctx context.Context, m allocator.Member) error
+	// StoreQuarantine records for the other VMs that a request is held in quarantine, and Drop
 	// that it is no longer.
-	Keep(ctx context.Context, r quarantiner.Record) error
-	Drop(ctx context.Context, f fingerprinter.Fingerprint) error
-	// Change, Upstream, Peer and Quarantined read records of the three streams, the
+	StoreQuarantine(ctx context.Context, r quarantiner.Record) error
+	DeleteQuarantine(ctx context.Context, f fingerprinter.Fingerprint) error
+	// ParseChange, Upstream, Peer and Quarantined read records of the three streams, the
 	// last two those of VMs. Errors name what could not be read; such a record
 	// changes nothing.
-	Change(r replicator.Record) (Change, error)
-	Upstream(r replicator.Record) (tracker.Upstream, error)
-	Peer(r replicator.Record) (allocator.Member, error)
-	// Quarantined says whether a record is one that Keep made; where it was dropped,
+	ParseChange(r replicator.Record) (ConfigChange, error)
+	ParseUpstream(r replicator.Record) (tracker.Upstream, error)
+	ParseMember(r replicator.Record) (allocator.Member, error)
+	// ParseQuarantine says whether a record is one that Keep made; where it was dropped,
 	// only its fingerprint is known.
-	Quarantined(r replicator.Record) (q quarantiner.Record, ok bool, err error)
+	ParseQuarantine(r replicator.Record) (q quarantiner.Record, ok bool, err error)
 }
 
 // A Process is one VM's process.
@@ -198,17 +198,17 @@
 	if err != nil {
 		return nil, err
 	}
-	me := allocator.Member{VM: s.VM, Address: self, Zone: s.Zone, Cores: s.Power}
+	me := allocator.Member{VM: s.VM, Address: self, Zone: s.Zone, Cores: s.Cores}
 	v.me = me
 	v.gossiper = gossiper.New(me, v.boot, sender{v.datagrams}, v.ends, time.Now, log)
-	v.gossiper.Listen(v.wake)
+	v.gossiper.OnPeerAhead(v.wake)
 	v.quarantine = quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: log, Broadcast: func() {
-		v.gossiper.Spread()
+		v.gossiper.ScheduleBroadcast()
 		signal(v.found)
 	}, MayRunTrial: v.mayTry})
-	v.gossiper.Share(v.quarantine, v.ticker)
+	v.gossiper.SetSharedState(v.quarantine, v.ticker)
 	v.allocator = allocator.New(me, v.boot, allocator.Deps{
-		Tracker: v.tracker, Sender: sender{v.datagrams}, Timer: v.ticker, Meter: v.meter, Members: v.gossiper.Members, FleetSize: v.gossiper.Fleet,
+		Tracker: v.tracker, Sender: sender{v.datagrams}, Timer: v.ticker, Meter: v.meter, Members: v.gossiper.ReachableMembers, FleetSize: v.gossiper.FleetSize,
 		Service: v.service, ColdStartQuota: v.coldPart, Now: time.Now, Log: log,
 	})
 	v.budget = newBudget(v)
@@ -241,7 +241,7 @@
 		"groups":    func() int64 { return int64(v.allocator.LedGroups()) },
 		"active":    v.active.Load,
 		"upstreams": func() int64 { return int64(v.tracker.Len()) },
-		"vms":       func() int64 { return int64(len(v.gossiper.VMs())) },
+		"vms":       func() int64 { return int64(len(v.gossiper.LiveVMs())) },
 		"dials":     v.carrier.Dials,
 		"held":      func() int64 { return int64(v.quarantine.Len()) },
 		"version":   v.version,
@@ -283,9 +283,9 @@
 
 func (v *Process) background(ctx context.Context, parts *sync.WaitGroup) {
 	v.ticker.Subscribe(sweepEvery, func(time.Time) { v.carrier.Sweep() })
-	v.ticker.Subscribe(gossiper.BeatEvery, v.gossiper.Tick)
-	v.ticker.Subscribe(gossiper.BeatEvery, v.expire)
-	v.ticker.Subscribe(gossiper.BeatEvery, v.budget.note)
+	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.gossiper.Tick)
+	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.expire)
+	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.budget.note)
 	v.ticker.Subscribe(watchEvery, func(time.Time) { v.watch() })
 	for _, run := range []func(context.Context){v.ticker.Run, v.introduce, v.keep} {
 		parts.Go(func() { run(ctx) })
--- a/entry/process/joiner/list_test.go
+++ b/entry/process/joiner/list_test.go
@@ -56,10 +56,10 @@
 	return nil, from, ctx.Err()
 }
 
-func (*slow) Announce(context.Context, allocator.Member) error { return nil }
+func (*slow) RegisterVM(context.Context, allocator.Member) error { return nil }
 
-func (*slow) Change(replicator.Record) (joiner.Change, error) {
-	return joiner.Change{Config: &matcher.Config{
+func (*slow) ParseChange(replicator.Record) (joiner.ConfigChange, error) {
+	return joiner.ConfigChange{Config: &matcher.Config{
 		Version: 1, Services: []matcher.Service{{Name: "s"}}, Limits: matcher.Limits{Body: 1 << 10},
 		Routes: []matcher.Route{{
 			Name: "r", Host: "a.example", Prefix: "/", Kind: matcher.Safe, Attempts: 1, Timeout: 5 * time.Second,
@@ -68,7 +68,7 @@
 	}}, nil
 }
 
-func (p *slow) Upstream(r replicator.Record) (tracker.Upstream, error) {
+func (p *slow) ParseUpstream(r replicator.Record) (tracker.Upstream, error) {
 	time.Sleep(entryTime)
 	u := tracker.Upstream{ID: r.Key, Service: r.Key, Address: p.address, Zone: "z", Slots: 4}
 	if r.Key == "needed" {
@@ -77,13 +77,13 @@
 	return u, nil
 }
 
-func (*slow) Peer(replicator.Record) (allocator.Member, error) { return allocator.Member{}, nil }
+func (*slow) ParseMember(replicator.Record) (allocator.Member, error) { return allocator.Member{}, nil }
 
-func (*slow) Keep(context.Context, quarantiner.Record) error { return nil }
+func (*slow) StoreQuarantine(context.Context, quarantiner.Record) error { return nil }
 
-func (*slow) Drop(context.Context, fingerprinter.Fingerprint) error { return nil }
+func (*slow) DeleteQuarantine(context.Context, fingerprinter.Fingerprint) error { return nil }
 
-func (*slow) Quarantined(replicator.Record) (q quarantiner.Record, ok bool, err error) {
+func (*slow) ParseQuarantine(replicator.Record) (q quarantiner.Record, ok bool, err error) {
 	return q, false, nil
 }
 
@@ -121,9 +121,9 @@
 	p := &slow{address: strings.TrimPrefix(upstream.URL, "http://"), listed: make(chan struct{})}
 	callers := free(t)
 	v, err := joiner.New(joiner.Settings{
-		VM: "vm", Zone: "z", Callers: callers, Ready: free(t), Peers: free(t), Metrics: free(t), ReadyPath: "/ready",
-		Power: 1, Memory: 64 << 20, Descriptors: 256,
-		Bounds: joiner.Bounds{Drain: 2 * time.Second, Apply: 2 * time.Second, Grace: 500 * time.Millisecond, Release: 4 * time.Second, RetryWindow: time.Second},
+		VM: "vm", Zone: "z", CallersAddress: callers, ReadyAddress: free(t), PeersAddress: free(t), MetricsAddress: free(t), ReadyPath: "/ready",
+		Cores: 1, Memory: 64 << 20, Descriptors: 256,
+		Bounds: joiner.Bounds{DrainTimeout: 2 * time.Second, ConfigApplyTimeout: 2 * time.Second, ShutdownGrace: 500 * time.Millisecond, ReleaseTimeout: 4 * time.Second, RetryWindow: time.Second},
 	}, p, zerolog.Nop())
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
--- a/entry/process/joiner/listeners.go
+++ b/entry/process/joiner/listeners.go
@@ -26,7 +26,7 @@
 		listener *net.Listener
 		address  string
 	}{
-		{&v.callers, s.Callers}, {&v.ready, s.Ready}, {&v.records, s.Peers}, {&v.metrics, s.Metrics},
+		{&v.callers, s.CallersAddress}, {&v.ready, s.ReadyAddress}, {&v.records, s.PeersAddress}, {&v.metrics, s.MetricsAddress},
 	} {
 		l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", side.address)
 		if err != nil {
@@ -44,7 +44,7 @@
 }
 
 func (v *Process) close() {
-	v.gossiper.Bye()
+	v.gossiper.AnnounceExit()
 	for _, c := range []interface{ Close() error }{v.ready, v.records, v.metrics, v.datagrams} {
 		if err := c.Close(); err != nil {
 			v.log.Debug().Err(err).Msg("side not closed")
@@ -58,7 +58,7 @@
 	if at == nil {
 		return false, 0
 	}
-	return true, time.Until(at.Add(v.settings.Load().Bounds.Grace - stopSpare))
+	return true, time.Until(at.Add(v.settings.Load().Bounds.ShutdownGrace - stopSpare))
 }
 
 // leave stops in the order that cuts no request: the balancer learns that no
@@ -68,8 +68,8 @@
 	now := time.Now()
 	v.leaveAt.Store(&now)
 	v.log.Info().Int64("active", v.active.Load()).Msg("leaving")
-	grace := v.settings.Load().Bounds.Grace
-	v.gossiper.Leave()
+	grace := v.settings.Load().Bounds.ShutdownGrace
+	v.gossiper.AnnounceLeaving()
 	v.allocator.Drain(now.Add(grace - stopSpare))
 	time.Sleep(min(outTime, grace/2))
 	ctx, cancel := context.WithDeadline(context.Background(), now.Add(grace-stopSpare))
--- a/entry/process/joiner/quarantine.go
+++ b/entry/process/joiner/quarantine.go
@@ -55,7 +55,7 @@
 // hold folds a record that a request is in quarantine, or no longer, and says
 // whether it is such a record.
 func (v *Process) hold(r replicator.Record) bool {
-	q, ok, err := v.platform.Quarantined(r)
+	q, ok, err := v.platform.ParseQuarantine(r)
 	switch {
 	case !ok:
 		return false
@@ -93,7 +93,7 @@
 // mayTry says that this VM may run a held request once: one of those that live, by a
 // hash, so that a trial costs one upstream.
 func (v *Process) mayTry(f quarantiner.Fingerprint) bool {
-	return budgeter.Quota(1, "trial "+f.String(), v.me.VM, v.gossiper.VMs()) > 0
+	return budgeter.Quota(1, "trial "+f.String(), v.me.VM, v.gossiper.LiveVMs()) > 0
 }
 
 func signal(c chan struct{}) {
@@ -108,7 +108,7 @@
 	v.dropping.add(over...)
 	for _, r := range held {
 		short, cancel := context.WithTimeout(ctx, keepTime)
-		err := v.platform.Keep(short, r)
+		err := v.platform.StoreQuarantine(short, r)
 		cancel()
 		if err != nil {
 			v.log.Warn().Stringer("fingerprint", r.Fingerprint).Err(err).Msg("quarantine not recorded")
@@ -117,12 +117,12 @@
 		v.quarantine.MarkStored(r)
 		v.log.Info().Stringer("fingerprint", r.Fingerprint).Time("held", r.Since).Bool("confirmed", r.Confirmed).Msg("quarantine recorded")
 	}
-	if v.gossiper.Duty() != gossiper.Reads {
+	if v.gossiper.ReadRole() != gossiper.Reader {
 		return
 	}
 	for _, f := range v.dropping.all() {
 		short, cancel := context.WithTimeout(ctx, keepTime)
-		err := v.platform.Drop(short, f)
+		err := v.platform.DeleteQuarantine(short, f)
 		cancel()
 		if err != nil {
 			v.log.Warn().Stringer("fingerprint", f).Err(err).Msg("end of a quarantine not recorded")
--- a/entry/process/joiner/readings_test.go
+++ b/entry/process/joiner/readings_test.go
@@ -14,12 +14,12 @@
 // they have is stale. Their reading, the word of it and the fetch must end in time.
 func TestReadingsLeaveTimeForThoseThatStandBy(t *testing.T) {
 	const (
-		stale = gossiper.BeatEvery + 100*time.Millisecond
+		stale = gossiper.HeartbeatInterval + 100*time.Millisecond
 		looks = 300 * time.Millisecond
-		beats = stale + looks + gossiper.BeatEvery
+		beats = stale + looks + gossiper.HeartbeatInterval
 	)
 	for bound := 2 * time.Second; bound <= 8*time.Second; bound += time.Second {
-		held, every := joiner.Bounds{Apply: bound, Drain: bound}.Readings()
+		held, every := joiner.Bounds{ConfigApplyTimeout: bound, DrainTimeout: bound}.ReadIntervals()
 		assert.Assert(t, held+beats < bound, "%v of %v", held, bound)
 		assert.Assert(t, every+beats < bound, "%v of %v", every, bound)
 	}
@@ -29,6 +29,6 @@
 // an outage, in which entries that are gone are used on.
 func TestReadingsAreNoOutage(t *testing.T) {
 	const outage, again = 1500 * time.Millisecond, 200 * time.Millisecond
-	_, every := joiner.Bounds{Drain: time.Minute}.Readings()
+	_, every := joiner.Bounds{DrainTimeout: time.Minute}.ReadIntervals()
 	assert.Assert(t, every+2*again < outage)
 }
--- a/entry/process/keeper/keeper.go
+++ b/entry/process/keeper/keeper.go
@@ -40,9 +40,9 @@
 
 // A Quarantine is what is kept.
 type Quarantine interface {
-	Fresh(own bool) [][]byte
+	PendingChanges(own bool) [][]byte
 	All() [][]byte
-	TakeOlder(data []byte, age time.Duration) (news bool)
+	MergeOlder(data []byte, age time.Duration) (news bool)
 	Reconcile() (keep []quarantiner.Record, drop []quarantiner.Fingerprint)
 	MarkStored(r quarantiner.Record)
 }
@@ -96,9 +96,9 @@
 		case <-ctx.Done():
 		case <-k.change:
 			pause(ctx, together)
-			k.append(ctx, k.kept.Fresh(true))
+			k.append(ctx, k.kept.PendingChanges(true))
 		case <-k.look:
-			k.append(ctx, k.kept.Fresh(true))
+			k.append(ctx, k.kept.PendingChanges(true))
 			k.retry(ctx)
 		}
 	}
@@ -164,7 +164,7 @@
 			k.deps.Logger.Debug().Uint64("offset", r.Offset).Err(err).Msg("record of a quarantine not understood")
 			continue
 		}
-		k.kept.TakeOlder(q.Part, max(0, k.deps.Ticker.Now().Sub(r.At)))
+		k.kept.MergeOlder(q.Part, max(0, k.deps.Ticker.Now().Sub(r.At)))
 	}
 }
 
--- a/entry/process/member/member.go
+++ b/entry/process/member/member.go
@@ -42,19 +42,19 @@
 type Config struct {
 	VM, Zone, Address string
 	Boot              uint64
-	// Suspect and Dead are times without a heartbeat.
-	Suspect, Dead time.Duration
-	// Absent is how long a VM must be off the list, and not heard, before it
+	// SuspectAfter and GoneAfter are times without a heartbeat.
+	SuspectAfter, GoneAfter time.Duration
+	// AbsentAfter is how long a VM must be off the list, and not heard, before it
 	// counts as stopped by the platform. It must be longer than the list's lag,
 	// because a new VM is not on the list yet.
-	Absent time.Duration
+	AbsentAfter time.Duration
 }
 
 // maxHeard bounds what a heartbeat relays of other VMs.
 const maxHeard = 16
 
-// A Beat is a heartbeat.
-type Beat struct {
+// A Heartbeat is a heartbeat.
+type Heartbeat struct {
 	_       struct{} `cbor:",toarray"`
 	VM      string
 	Boot    uint64
@@ -64,15 +64,15 @@
 	// Version is the configuration in force at the sender.
 	Version uint64
 	// Heard are the VMs that the sender heard itself.
-	Heard []Heard
+	Heard []HeardVM
 }
 
-// Heard says how long ago, in milliseconds, the sender heard a VM itself.
-type Heard struct {
-	_    struct{} `cbor:",toarray"`
-	VM   string
-	Boot uint64
-	Age  int
+// HeardVM says how long ago, in milliseconds, the sender heard a VM itself.
+type HeardVM struct {
+	_         struct{} `cbor:",toarray"`
+	VM        string
+	Boot      uint64
+	AgeMillis int
 }
 
 // A Member is one VM as known here.
@@ -117,8 +117,8 @@
 	return v
 }
 
-// List takes in the platform's list.
-func (t *Table) List(now time.Time, list []lister.VM) {
+// ApplyList takes in the platform's list.
+func (t *Table) ApplyList(now time.Time, list []lister.VM) {
 	if t.lists == 0 {
 		t.first = now
 	}
@@ -143,15 +143,15 @@
 		}
 	}
 	for id, v := range t.vms {
-		if !v.listed && t.state(now, v) == Gone && t.Absent(now, id, v.boot) {
+		if !v.listed && t.state(now, v) == Gone && t.IsAbsent(now, id, v.boot) {
 			delete(t.vms, id)
 		}
 	}
 }
 
-// Beat takes in a heartbeat. One of an earlier process of the same VM is
+// ReceiveHeartbeat takes in a heartbeat. One of an earlier process of the same VM is
 // ignored: a process that was replaced may still send.
-func (t *Table) Beat(now time.Time, b Beat) {
+func (t *Table) ReceiveHeartbeat(now time.Time, b Heartbeat) {
 	if b.VM == t.c.VM || b.VM == "" {
 		return
 	}
@@ -169,10 +169,10 @@
 	}
 }
 
-// Met takes in a process that has written a claim on the log. It is taken for
+// AddClaimant takes in a process that has written a claim on the log. It is taken for
 // living until heartbeats had the time to come: VMs that start while the list
 // lags would else not know one another, and take each other's upstreams.
-func (t *Table) Met(now time.Time, id, zone, address string, boot uint64) {
+func (t *Table) AddClaimant(now time.Time, id, zone, address string, boot uint64) {
 	if id == t.c.VM || id == "" {
 		return
 	}
@@ -183,29 +183,29 @@
 	v.boot, v.zone, v.address, v.since = boot, zone, address, now
 }
 
-func (t *Table) relay(now time.Time, h Heard) {
-	if h.VM == t.c.VM || h.VM == "" || h.Age < 0 {
+func (t *Table) relay(now time.Time, h HeardVM) {
+	if h.VM == t.c.VM || h.VM == "" || h.AgeMillis < 0 {
 		return
 	}
 	v := t.vms[h.VM]
 	if v == nil || h.Boot < v.boot {
 		return
 	}
-	if at := now.Add(-time.Duration(h.Age) * time.Millisecond); at.After(v.relayed) {
+	if at := now.Add(-time.Duration(h.AgeMillis) * time.Millisecond); at.After(v.relayed) {
 		v.relayed = at
 	}
 }
 
-// Own returns the heartbeat to send.
-func (t *Table) Own(now time.Time, version uint64) Beat {
-	b := Beat{VM: t.c.VM, Boot: t.c.Boot, Zone: t.c.Zone, Address: t.c.Address, Leaving: t.leaving, Version: version}
+// OwnHeartbeat returns the heartbeat to send.
+func (t *Table) OwnHeartbeat(now time.Time, version uint64) Heartbeat {
+	b := Heartbeat{VM: t.c.VM, Boot: t.c.Boot, Zone: t.c.Zone, Address: t.c.Address, Leaving: t.leaving, Version: version}
 	for id, v := range t.vms {
-		if !v.heard.IsZero() && now.Sub(v.heard) < t.c.Dead {
-			b.Heard = append(b.Heard, Heard{VM: id, Boot: v.boot, Age: int(now.Sub(v.heard).Milliseconds())})
+		if !v.heard.IsZero() && now.Sub(v.heard) < t.c.GoneAfter {
+			b.Heard = append(b.Heard, HeardVM{VM: id, Boot: v.boot, AgeMillis: int(now.Sub(v.heard).Milliseconds())})
 		}
 	}
-	slices.SortFunc(b.Heard, func(x, y Heard) int {
-		return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.VM, y.VM))
+	slices.SortFunc(b.Heard, func(x, y HeardVM) int {
+		return cmp.Or(cmp.Compare(x.AgeMillis, y.AgeMillis), cmp.Compare(x.VM, y.VM))
 	})
 	b.Heard = b.Heard[:min(len(b.Heard), maxHeard)]
 	return b
@@ -215,11 +215,11 @@
 	last := latest(v.heard, v.relayed, v.since)
 	silent := now.Sub(last)
 	switch {
-	case silent >= t.c.Dead:
+	case silent >= t.c.GoneAfter:
 		return Gone
 	case v.leaving:
 		return Leaving
-	case silent >= t.c.Suspect:
+	case silent >= t.c.SuspectAfter:
 		return Suspect
 	}
 	return Live
@@ -229,8 +229,8 @@
 	return slices.MaxFunc(times, time.Time.Compare)
 }
 
-// Live says whether a process is thought to run.
-func (t *Table) Live(now time.Time, id string, boot uint64) bool {
+// IsLive says whether a process is thought to run.
+func (t *Table) IsLive(now time.Time, id string, boot uint64) bool {
 	if id == t.c.VM {
 		return boot == t.c.Boot
 	}
@@ -241,10 +241,10 @@
 	return t.state(now, v) != Gone
 }
 
-// Absent says that the platform has stopped a process: its VM has been off the
+// IsAbsent says that the platform has stopped a process: its VM has been off the
 // list, and not heard, for longer than the list can lag, or a later process of
 // the same VM has been heard.
-func (t *Table) Absent(now time.Time, id string, boot uint64) bool {
+func (t *Table) IsAbsent(now time.Time, id string, boot uint64) bool {
 	if id == t.c.VM {
 		return boot != t.c.Boot
 	}
@@ -253,13 +253,13 @@
 	}
 	v := t.vms[id]
 	if v == nil {
-		return now.Sub(t.first) >= t.c.Absent
+		return now.Sub(t.first) >= t.c.AbsentAfter
 	}
 	if v.boot > boot {
 		return true
 	}
 	last := latest(v.seen, v.heard, v.relayed, t.first)
-	return !v.listed && now.Sub(last) >= t.c.Absent
+	return !v.listed && now.Sub(last) >= t.c.AbsentAfter
 }
 
 // Members are all known VMs but those gone and off the list, this one included,
@@ -277,19 +277,19 @@
 	return out
 }
 
-// May says whether a member may hold upstreams. One that was never heard has no
+// CanHold says whether a member may hold upstreams. One that was never heard has no
 // boot number and can't be named in a claim yet.
-func May(m Member) bool {
+func CanHold(m Member) bool {
 	return m.Boot != 0 && m.State != Gone && m.State != Leaving
 }
 
-// Should names the process that ought to hold an upstream: the highest of all
+// PreferredHolder names the process that ought to hold an upstream: the highest of all
 // hashes of the upstream with a VM (rendezvous hashing), so that a VM's death
 // moves only what it held.
-func Should(upstream string, members []Member) (id string, boot uint64) {
+func PreferredHolder(upstream string, members []Member) (id string, boot uint64) {
 	var best uint64
 	for _, m := range members {
-		if !May(m) {
+		if !CanHold(m) {
 			continue
 		}
 		if h := xxhash.Sum64String(upstream + "/" + m.VM); id == "" || h > best {
@@ -302,9 +302,9 @@
 // mesh is up to how many VMs each is linked to all: today's fleets are smaller.
 const mesh = 12
 
-// Peers are the VMs to keep a link to for heartbeats: all in a small fleet, else
+// HeartbeatPeers are the VMs to keep a link to for heartbeats: all in a small fleet, else
 // the next few in an order that is this VM's own and changes with the turn.
-func Peers(own string, members []Member, few int, turn uint64) []Member {
+func HeartbeatPeers(own string, members []Member, few int, turn uint64) []Member {
 	var out []Member
 	for _, m := range members {
 		if m.VM != own && m.Address != "" {
--- a/entry/process/member/member_test.go
+++ b/entry/process/member/member_test.go
@@ -16,7 +16,7 @@
 func table() *member.Table {
 	return member.New(member.Config{
 		VM: "a", Zone: "z", Address: "a:1", Boot: 10,
-		Suspect: 1500 * time.Millisecond, Dead: 2500 * time.Millisecond, Absent: 15 * time.Second,
+		SuspectAfter: 1500 * time.Millisecond, GoneAfter: 2500 * time.Millisecond, AbsentAfter: 15 * time.Second,
 	})
 }
 
@@ -33,7 +33,7 @@
 
 func TestStates(t *testing.T) {
 	m := table()
-	m.Beat(epoch, member.Beat{VM: "b", Boot: 5, Address: "b:1"})
+	m.ReceiveHeartbeat(epoch, member.Heartbeat{VM: "b", Boot: 5, Address: "b:1"})
 	tests := []struct {
 		after time.Duration
 		state member.State
@@ -46,7 +46,7 @@
 	for _, test := range tests {
 		assert.Equal(t, state(t, m, epoch.Add(test.after), "b"), test.state, "after %v", test.after)
 	}
-	m.Beat(epoch, member.Beat{VM: "b", Boot: 5, Leaving: true})
+	m.ReceiveHeartbeat(epoch, member.Heartbeat{VM: "b", Boot: 5, Leaving: true})
 	assert.Equal(t, state(t, m, epoch, "b"), member.Leaving)
 }
 
@@ -54,28 +54,28 @@
 // take b's upstreams over: they would change hands for as long as the cut lasts.
 func TestOneWayCut(t *testing.T) {
 	m := table()
-	m.Beat(epoch, member.Beat{VM: "b", Boot: 5})
+	m.ReceiveHeartbeat(epoch, member.Heartbeat{VM: "b", Boot: 5})
 	now := epoch.Add(10 * time.Second)
-	m.Beat(now, member.Beat{VM: "c", Boot: 6, Heard: []member.Heard{{VM: "b", Boot: 5, Age: 100}}})
-	assert.Assert(t, m.Live(now, "b", 5))
+	m.ReceiveHeartbeat(now, member.Heartbeat{VM: "c", Boot: 6, Heard: []member.HeardVM{{VM: "b", Boot: 5, AgeMillis: 100}}})
+	assert.Assert(t, m.IsLive(now, "b", 5))
 	// What c heard long ago counts for nothing.
 	now = now.Add(10 * time.Second)
-	m.Beat(now, member.Beat{VM: "c", Boot: 6, Heard: []member.Heard{{VM: "b", Boot: 5, Age: 5000}}})
-	assert.Assert(t, !m.Live(now, "b", 5))
+	m.ReceiveHeartbeat(now, member.Heartbeat{VM: "c", Boot: 6, Heard: []member.HeardVM{{VM: "b", Boot: 5, AgeMillis: 5000}}})
+	assert.Assert(t, !m.IsLive(now, "b", 5))
 }
 
 // A VM is replaced under its name. The old process may still send, frozen and
 // woken; it must not pass for the new one.
 func TestReplacedProcess(t *testing.T) {
 	m := table()
-	m.List(epoch, []lister.VM{{ID: "b", Address: "b:1"}})
-	m.Beat(epoch, member.Beat{VM: "b", Boot: 5})
-	m.Beat(epoch, member.Beat{VM: "b", Boot: 6})
-	m.Beat(epoch, member.Beat{VM: "b", Boot: 5, Leaving: true})
-	assert.Assert(t, m.Live(epoch, "b", 6))
-	assert.Assert(t, !m.Live(epoch, "b", 5))
-	assert.Assert(t, m.Absent(epoch, "b", 5))
-	assert.Assert(t, !m.Absent(epoch, "b", 6))
+	m.ApplyList(epoch, []lister.VM{{ID: "b", Address: "b:1"}})
+	m.ReceiveHeartbeat(epoch, member.Heartbeat{VM: "b", Boot: 5})
+	m.ReceiveHeartbeat(epoch, member.Heartbeat{VM: "b", Boot: 6})
+	m.ReceiveHeartbeat(epoch, member.Heartbeat{VM: "b", Boot: 5, Leaving: true})
+	assert.Assert(t, m.IsLive(epoch, "b", 6))
+	assert.Assert(t, !m.IsLive(epoch, "b", 5))
+	assert.Assert(t, m.IsAbsent(epoch, "b", 5))
+	assert.Assert(t, !m.IsAbsent(epoch, "b", 6))
 	assert.Equal(t, state(t, m, epoch, "b"), member.Live)
 }
 
@@ -83,16 +83,16 @@
 // heartbeats may take, and no longer.
 func TestMet(t *testing.T) {
 	m := table()
-	m.Met(epoch, "b", "z", "b:1", 5)
-	assert.Assert(t, m.Live(epoch, "b", 5))
-	assert.Equal(t, len(member.Peers("a", m.Members(epoch), 3, 1)), 1)
+	m.AddClaimant(epoch, "b", "z", "b:1", 5)
+	assert.Assert(t, m.IsLive(epoch, "b", 5))
+	assert.Equal(t, len(member.HeartbeatPeers("a", m.Members(epoch), 3, 1)), 1)
 	later := epoch.Add(3 * time.Second)
-	assert.Assert(t, !m.Live(later, "b", 5))
-	m.Met(later, "b", "z", "b:2", 4) // a late record of an earlier process
-	assert.Assert(t, !m.Live(later, "b", 5))
-	m.Met(later, "b", "z", "b:2", 6)
-	assert.Assert(t, m.Live(later, "b", 6))
-	assert.Assert(t, !m.Live(later, "b", 5))
+	assert.Assert(t, !m.IsLive(later, "b", 5))
+	m.AddClaimant(later, "b", "z", "b:2", 4) // a late record of an earlier process
+	assert.Assert(t, !m.IsLive(later, "b", 5))
+	m.AddClaimant(later, "b", "z", "b:2", 6)
+	assert.Assert(t, m.IsLive(later, "b", 6))
+	assert.Assert(t, !m.IsLive(later, "b", 5))
 }
 
 // Absent frees a dead VM's seat and what it left at engines. Said too early, it
@@ -107,21 +107,21 @@
 		absent bool
 	}{
 		{"no list yet", func(*member.Table) {}, 100, false},
-		{"listed", func(m *member.Table) { m.List(epoch, listed) }, 10_000, false},
-		{"never listed, list new", func(m *member.Table) { m.List(epoch, nil) }, 14, false},
-		{"never listed", func(m *member.Table) { m.List(epoch, nil) }, 15, true},
-		{"just left", func(m *member.Table) { m.List(epoch, listed); m.List(at(1), nil) }, 15, false},
-		{"left", func(m *member.Table) { m.List(epoch, listed); m.List(at(1), nil) }, 16, true},
+		{"listed", func(m *member.Table) { m.ApplyList(epoch, listed) }, 10_000, false},
+		{"never listed, list new", func(m *member.Table) { m.ApplyList(epoch, nil) }, 14, false},
+		{"never listed", func(m *member.Table) { m.ApplyList(epoch, nil) }, 15, true},
+		{"just left", func(m *member.Table) { m.ApplyList(epoch, listed); m.ApplyList(at(1), nil) }, 15, false},
+		{"left", func(m *member.Table) { m.ApplyList(epoch, listed); m.ApplyList(at(1), nil) }, 16, true},
 		{"left and heard", func(m *member.Table) {
-			m.List(epoch, nil)
-			m.Beat(at(20), member.Beat{VM: "b", Boot: 5})
+			m.ApplyList(epoch, nil)
+			m.ReceiveHeartbeat(at(20), member.Heartbeat{VM: "b", Boot: 5})
 		}, 25, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			m := table()
 			test.do(m)
-			assert.Equal(t, m.Absent(at(test.at), "b", 5), test.absent)
+			assert.Equal(t, m.IsAbsent(at(test.at), "b", 5), test.absent)
 		})
 	}
 }
@@ -135,8 +135,8 @@
 	moved, held := 0, map[string]int{}
 	for i := range 1000 {
 		name := fmt.Sprintf("e%d", i)
-		before, _ := member.Should(name, members)
-		after, _ := member.Should(name, members[1:])
+		before, _ := member.PreferredHolder(name, members)
+		after, _ := member.PreferredHolder(name, members[1:])
 		held[before]++
 		if before != after && before != "v0" {
 			moved++
@@ -153,6 +153,6 @@
 	for i := range 330 {
 		members = append(members, member.Member{VM: fmt.Sprintf("v%d", i), Address: "x:1", Boot: 1})
 	}
-	assert.Equal(t, len(member.Peers("v0", members[:8], 3, 1)), 7)
-	assert.Equal(t, len(member.Peers("v0", members, 3, 1)), 3)
+	assert.Equal(t, len(member.HeartbeatPeers("v0", members[:8], 3, 1)), 7)
+	assert.Equal(t, len(member.HeartbeatPeers("v0", members, 3, 1)), 3)
 }
--- a/entry/process/quarantiner/fleet_test.go
+++ b/entry/process/quarantiner/fleet_test.go
@@ -108,10 +108,10 @@
 	f.boot++
 	v.started = f.now
 	v.ticker = ticker.New(now, step)
-	v.gossip = gossiper.New(v.member, f.boot, v, func() map[string]gossiper.End { return nil }, now, zerolog.Nop())
-	v.quarantine = quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: now, Log: zerolog.Nop(), Broadcast: v.gossip.Spread, MayRunTrial: v.mayRunTrial})
-	v.gossip.Share(v.quarantine, v.ticker)
-	v.ticker.Subscribe(gossiper.BeatEvery, v.gossip.Tick)
+	v.gossip = gossiper.New(v.member, f.boot, v, func() map[string]gossiper.StreamPosition { return nil }, now, zerolog.Nop())
+	v.quarantine = quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: now, Log: zerolog.Nop(), Broadcast: v.gossip.ScheduleBroadcast, MayRunTrial: v.mayRunTrial})
+	v.gossip.SetSharedState(v.quarantine, v.ticker)
+	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.gossip.Tick)
 	v.ticker.Subscribe(time.Second, func(time.Time) {
 		records, _ := v.quarantine.Reconcile()
 		for _, r := range records {
@@ -123,9 +123,9 @@
 		v.quarantine.Restore(r)
 	}
 	for _, o := range f.vms {
-		v.gossip.Meet(o.member)
+		v.gossip.AddPeer(o.member)
 	}
-	v.gossip.Greet()
+	v.gossip.SendHello()
 }
 
 // mayRunTrial has the first VM run all trials.
--- a/entry/process/quarantiner/quarantiner.go
+++ b/entry/process/quarantiner/quarantiner.go
@@ -180,15 +180,15 @@
 	q.deps.Log.Warn().Stringer("fingerprint", f).Str("source", source).Msg("quarantine lifted")
 }
 
-// Fresh returns the encoded changes that are still to be sent to other VMs; with own,
+// PendingChanges returns the encoded changes that are still to be sent to other VMs; with own,
 // only those that this VM observed itself.
-func (q *Quarantiner) Fresh(own bool) [][]byte {
+func (q *Quarantiner) PendingChanges(own bool) [][]byte {
 	return q.encodeEntries(func() []Entry { return q.ledger.Pending(own, maxPending) })
 }
 
-// InTurn returns some of the entries of requests that are held, or were until they
+// NextPart returns some of the entries of requests that are held, or were until they
 // were served, encoded; other ones on each call.
-func (q *Quarantiner) InTurn() [][]byte {
+func (q *Quarantiner) NextPart() [][]byte {
 	return q.encodeEntries(func() []Entry { return q.ledger.NextBatch(maxPartEntries) })
 }
 
@@ -208,11 +208,11 @@
 	return parts
 }
 
-// Take merges entries from another VM, and reports whether they changed anything.
-func (q *Quarantiner) Take(data []byte) (changed bool) { return q.TakeOlder(data, 0) }
+// Merge merges entries from another VM, and reports whether they changed anything.
+func (q *Quarantiner) Merge(data []byte) (changed bool) { return q.MergeOlder(data, 0) }
 
-// TakeOlder is like Take, for entries that were sent some time ago.
-func (q *Quarantiner) TakeOlder(data []byte, age time.Duration) (changed bool) {
+// MergeOlder is like Merge, for entries that were sent some time ago.
+func (q *Quarantiner) MergeOlder(data []byte, age time.Duration) (changed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.deps.Now()
--- a/entry/process/syncer/syncer.go
+++ b/entry/process/syncer/syncer.go
@@ -64,20 +64,20 @@
 
 // Peers are the other VMs.
 type Peers interface {
-	// Duty is whether this VM reads the platform for others, and ReadsAtStart whether it
+	// ReadRole is whether this VM reads the platform for others, and ShouldReadAtStart whether it
 	// does where it has just started and nobody that it hears will.
-	Duty() gossiper.Duty
-	ReadsAtStart() bool
-	// Publish tells the other VMs at once how far this one has read.
-	Publish()
-	// Answered is when the platform last confirmed any offset of a stream to a
+	ReadRole() gossiper.ReadRole
+	ShouldReadAtStart() bool
+	// PublishOffsets tells the other VMs at once how far this one has read.
+	PublishOffsets()
+	// LastConfirmed is when the platform last confirmed any offset of a stream to a
 	// VM that can be heard.
-	Answered(stream string) time.Time
-	// Confirmed is when a VM was last told that a stream went no further than
+	LastConfirmed(stream string) time.Time
+	// ConfirmedAt is when a VM was last told that a stream went no further than
 	// an offset; zero where none was.
-	Confirmed(stream string, offset int64) time.Time
-	// Ahead names one that has read further.
-	Ahead(stream string, than int64) (netip.AddrPort, bool)
+	ConfirmedAt(stream string, offset int64) time.Time
+	// MostAdvancedPeer names one that has read further.
+	MostAdvancedPeer(stream string, than int64) (netip.AddrPort, bool)
 	// Fetch gets its records from an offset on.
 	Fetch(ctx context.Context, from netip.AddrPort, stream string, offset int64) (replicator.Page, error)
 }
@@ -155,7 +155,7 @@
 			}
 			whole, wait, read = false, tryAgain, now
 			if first && s.known() && s.stream.Shared {
-				s.peers.Publish()
+				s.peers.PublishOffsets()
 			}
 			pause(ctx, s.stream.Every)
 			continue
@@ -206,10 +206,10 @@
 // starts would else make its own calls.
 func (s *Syncer) starts() bool {
 	old := s.now().Sub(s.ran)
-	if _, ahead := s.peers.Ahead(s.stream.Name, 0); ahead && old < startWait {
+	if _, ahead := s.peers.MostAdvancedPeer(s.stream.Name, 0); ahead && old < startWait {
 		return false
 	}
-	return old >= startWait || (old >= greeting && s.peers.ReadsAtStart())
+	return old >= startWait || (old >= greeting && s.peers.ShouldReadAtStart())
 }
 
 // due says that this VM has to read the platform. Each reading is paid for, and the
@@ -228,14 +228,14 @@
 		asOf = s.began
 	}
 	old := s.now().Sub(asOf) - s.stream.Stale
-	switch s.peers.Duty() {
-	case gossiper.Reads:
+	switch s.peers.ReadRole() {
+	case gossiper.Reader:
 		return true
-	case gossiper.StandsBy:
+	case gossiper.Standby:
 		return old >= 0
-	case gossiper.Follows:
+	case gossiper.Follower:
 	}
-	answered := s.now().Sub(s.peers.Answered(s.stream.Name)) < s.stream.Stale
+	answered := s.now().Sub(s.peers.LastConfirmed(s.stream.Name)) < s.stream.Stale
 	return old >= followSpare && (answered || end == 0)
 }
 
@@ -286,10 +286,10 @@
 	for ctx.Err() == nil {
 		s.pausePeers(ctx)
 		end, asOf := s.stream.Copy.End()
-		if confirmed := s.peers.Confirmed(s.stream.Name, end); confirmed.After(asOf) {
+		if confirmed := s.peers.ConfirmedAt(s.stream.Name, end); confirmed.After(asOf) {
 			s.stream.Copy.Confirm(confirmed)
 		}
-		from, ok := s.peers.Ahead(s.stream.Name, end)
+		from, ok := s.peers.MostAdvancedPeer(s.stream.Name, end)
 		if !ok {
 			behind = time.Time{}
 			continue
--- a/entry/process/syncer/syncer_test.go
+++ b/entry/process/syncer/syncer_test.go
@@ -68,38 +68,38 @@
 	serves *atomic.Bool
 	// duty is this VM's while they do; stale says that they confirm nothing, and
 	// answered when the platform last answered one of them.
-	duty     gossiper.Duty
+	duty     gossiper.ReadRole
 	stale    bool
 	answered time.Time
 	// told counts how often this VM told them how far it has read.
 	told *atomic.Int32
 }
 
-func (p peers) Duty() gossiper.Duty {
+func (p peers) ReadRole() gossiper.ReadRole {
 	if p.serves == nil || !p.serves.Load() {
-		return gossiper.Reads
+		return gossiper.Reader
 	}
 	return p.duty
 }
 
-func (p peers) ReadsAtStart() bool { return p.Duty() == gossiper.Reads }
+func (p peers) ShouldReadAtStart() bool { return p.ReadRole() == gossiper.Reader }
 
-func (p peers) Publish() {
+func (p peers) PublishOffsets() {
 	if p.told != nil {
 		p.told.Add(1)
 	}
 }
 
-func (p peers) Confirmed(string, int64) time.Time {
-	if p.Duty() == gossiper.Reads || p.stale {
+func (p peers) ConfirmedAt(string, int64) time.Time {
+	if p.ReadRole() == gossiper.Reader || p.stale {
 		return time.Time{}
 	}
 	return time.Now()
 }
 
-func (p peers) Answered(string) time.Time { return p.answered }
+func (p peers) LastConfirmed(string) time.Time { return p.answered }
 
-func (p peers) Ahead(_ string, than int64) (netip.AddrPort, bool) {
+func (p peers) MostAdvancedPeer(_ string, than int64) (netip.AddrPort, bool) {
 	return netip.AddrPort{}, int64(len(p.records)) > than && (p.serves == nil || p.serves.Load())
 }
 
@@ -205,10 +205,10 @@
 		peers peers
 		reads bool
 	}{
-		{peers{duty: gossiper.Follows, stale: true}, false},
-		{peers{duty: gossiper.Follows, stale: true, answered: time.Now().Add(time.Hour)}, true},
-		{peers{duty: gossiper.StandsBy, stale: true}, true},
-		{peers{duty: gossiper.StandsBy}, false},
+		{peers{duty: gossiper.Follower, stale: true}, false},
+		{peers{duty: gossiper.Follower, stale: true, answered: time.Now().Add(time.Hour)}, true},
+		{peers{duty: gossiper.Standby, stale: true}, true},
+		{peers{duty: gossiper.Standby}, false},
 	} {
 		serves.Store(false)
 		c.peers.serves = serves
@@ -257,7 +257,7 @@
 	p := &platform{records: []replicator.Record{record("a", 0), record("b", 1)}}
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
 	s := syncer.New(syncer.Stream{Name: "s", Copy: c, Every: time.Millisecond, Stale: 200 * time.Millisecond, Shared: true}, p,
-		peers{records: p.records, serves: serves, duty: gossiper.Follows}, time.Now, zerolog.Nop())
+		peers{records: p.records, serves: serves, duty: gossiper.Follower}, time.Now, zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	var both sync.WaitGroup
 	both.Go(func() { s.Run(ctx) })
@@ -292,7 +292,7 @@
 	serves.Store(true)
 	p := &platform{records: []replicator.Record{record("a", 0)}}
 	began := time.Now()
-	reaches(t, start(t, p, peers{serves: serves, duty: gossiper.Follows, stale: true}), 1)
+	reaches(t, start(t, p, peers{serves: serves, duty: gossiper.Follower, stale: true}), 1)
 	assert.Assert(t, time.Since(began) < time.Second, "it took %v", time.Since(began))
 }
 
