--- a/entry/process/prober/prober.go
+++ b/entry/process/prober/prober.go
@@ -1,11 +1,12 @@
-// Package prober asks upstreams for their health at the moment when one of them has
-// declined to help with a prompt. It answers orders that take many upstreams away at
-// once: these decline from then on, and the platform's list names them later, or
-// not at all while it is down. Without it each try of a long prompt finds one more
-// of them, until the tries are used up.
+// Package prober checks the health of a service's upstreams when one of them has
+// declined to help with a prompt. It handles orders that remove many upstreams at
+// once: those upstreams decline from then on, but the platform's list shows them as
+// leaving only later, or not at all while the platform is down. Without a probe each
+// attempt at a long prompt would hit another of them until the attempts are used up.
 //
-// An upstream's health is no reason to send it nothing: it may be false, either way.
-// It only counts against it as a reader of parts, and for some seconds.
+// A failed health check is no reason to stop all traffic to an upstream, because the
+// result may be wrong either way. It only counts against the upstream as a reader of
+// prompt parts, and for some seconds.
 package prober
 
 import (
@@ -23,13 +24,13 @@
 )
 
 const (
-	// answerTime bounds an upstream's answer. Those that leave answer in a few
-	// milliseconds; a busy one may have the check wait for a slot.
-	answerTime = 50 * time.Millisecond
-	// fresh is how old the answers may be that serve another request as well.
-	fresh = 500 * time.Millisecond
-	// most is how many upstreams are asked at a time.
-	most = 64
+	// probeTimeout limits the wait for a probe response. A leaving upstream responds
+	// within a few milliseconds; a busy one may queue the check until a slot is free.
+	probeTimeout = 50 * time.Millisecond
+	// maxResultAge is the maximum age of a round that another request may reuse.
+	maxResultAge = 500 * time.Millisecond
+	// maxProbes is the maximum number of upstreams probed in one round.
+	maxProbes = 64
 )
 
 // A Carrier sends requests to upstreams.
@@ -37,43 +38,44 @@
 	Send(ctx context.Context, address string, q carrier.Request) (*carrier.Exchange, *carrier.Failure)
 }
 
-// A Meter counts.
+// A Meter increments named counters.
 type Meter interface {
 	Count(name string, n int64)
 }
 
-// Deps are what a Prober works with.
+// Deps holds the dependencies of a Prober.
 type Deps struct {
 	Tracker *tracker.Tracker
 	Carrier Carrier
-	// Rejected says that an upstream did not take the check, as it is full: that says
-	// nothing of its health.
+	// Rejected reports whether an upstream rejected the health check because it is
+	// full. Such a response says nothing about its health.
 	Rejected func(status int, h http.Header) bool
 	Meter    Meter
 	Now      func() time.Time
 	Log      zerolog.Logger
 }
 
-// A Prober asks for health, for each service at most once in a while.
+// A Prober checks the health of upstreams, and reuses the result of a service's last
+// round for up to maxResultAge.
 type Prober struct {
 	deps Deps
 
 	mu sync.Mutex
-	// rounds are the last ones, by service.
+	// rounds holds the latest round of each service.
 	rounds map[string]*round
 }
 
-// A round is one time that a service's upstreams were asked.
+// A round is one concurrent probe of a service's upstreams.
 type round struct {
-	began time.Time
-	done  chan struct{}
+	startedAt time.Time
+	done      chan struct{}
 }
 
-// New returns a Prober.
+// New returns a Prober that uses the given dependencies.
 func New(d Deps) *Prober { return &Prober{deps: d, rounds: make(map[string]*round)} }
 
-// Probe asks the upstreams of a service, and notes those that say that they are
-// not healthy as leaving. It returns when they have answered, or had the time to.
+// Probe checks the upstreams of a service and marks those that report themselves
+// unhealthy as leaving. It returns when the round is complete or ctx is done.
 func (p *Prober) Probe(ctx context.Context, s *matcher.Service) {
 	if s.HealthPath == "" {
 		return
@@ -81,14 +83,14 @@
 	now := p.deps.Now()
 	p.mu.Lock()
 	r, ok := p.rounds[s.Name]
-	begins := !ok || now.Sub(r.began) > fresh
-	if begins {
-		r = &round{began: now, done: make(chan struct{})}
+	isNew := !ok || now.Sub(r.startedAt) > maxResultAge
+	if isNew {
+		r = &round{startedAt: now, done: make(chan struct{})}
 		p.rounds[s.Name] = r
 	}
 	p.mu.Unlock()
-	if begins {
-		go p.run(s, r)
+	if isNew {
+		go p.runRound(s, r)
 	}
 	select {
 	case <-r.done:
@@ -96,42 +98,42 @@
 	}
 }
 
-// run makes one round. It does not end with the request that began it, as others may
-// wait for it.
-func (p *Prober) run(s *matcher.Service, r *round) {
+// runRound runs one round. It is not bound to the context of the request that started
+// it, because other requests may wait for the same round.
+func (p *Prober) runRound(s *matcher.Service, r *round) {
 	defer close(r.done)
-	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	states := slices.DeleteFunc(p.deps.Tracker.Usable(r.began, s.Name), func(u tracker.State) bool {
-		return r.began.Before(u.ColdUntil) || r.began.Before(u.LeavesUntil)
+	states := slices.DeleteFunc(p.deps.Tracker.Usable(r.startedAt, s.Name), func(u tracker.State) bool {
+		return r.startedAt.Before(u.ColdUntil) || r.startedAt.Before(u.LeavesUntil)
 	})
-	states = states[:min(len(states), most)]
+	states = states[:min(len(states), maxProbes)]
 	leaving := make([]bool, len(states))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range states {
-		all.Go(func() { leaving[i] = p.unhealthy(ctx, states[i].Address, s.HealthPath) })
+		wg.Go(func() { leaving[i] = p.reportsUnhealthy(ctx, states[i].Address, s.HealthPath) })
 	}
-	all.Wait()
-	var found []string
+	wg.Wait()
+	var leavingIDs []string
 	for i := range states {
 		if leaving[i] {
 			p.deps.Tracker.Leaves(p.deps.Now(), states[i].ID)
-			found = append(found, states[i].ID)
+			leavingIDs = append(leavingIDs, states[i].ID)
 		}
 	}
 	p.deps.Meter.Count("probes", int64(len(states)))
-	p.deps.Log.Info().Str("service", s.Name).Int("asked", len(states)).Strs("leaving", found).
-		Dur("took", p.deps.Now().Sub(r.began)).Msg("upstreams asked for their health")
+	p.deps.Log.Info().Str("service", s.Name).Int("asked", len(states)).Strs("leaving", leavingIDs).
+		Dur("took", p.deps.Now().Sub(r.startedAt)).Msg("probed the health of upstreams")
 }
 
-// unhealthy says that an upstream answered that it is not healthy. One that does not
-// answer in time may just be busy.
-func (p *Prober) unhealthy(ctx context.Context, address, path string) bool {
-	x, failure := p.deps.Carrier.Send(ctx, address, carrier.Request{Method: http.MethodGet, Target: path, Host: address})
+// reportsUnhealthy reports whether an upstream responded that it is unhealthy. An
+// upstream that does not respond in time may only be busy and does not count.
+func (p *Prober) reportsUnhealthy(ctx context.Context, address, path string) bool {
+	exchange, failure := p.deps.Carrier.Send(ctx, address, carrier.Request{Method: http.MethodGet, Target: path, Host: address})
 	if failure != nil {
-		p.deps.Log.Debug().Str("address", address).Err(failure).Msg("health not known")
+		p.deps.Log.Debug().Str("address", address).Err(failure).Msg("health probe failed")
 		return false
 	}
-	defer x.Close()
-	return x.Status == http.StatusServiceUnavailable && !p.deps.Rejected(x.Status, x.Header)
+	defer exchange.Close()
+	return exchange.Status == http.StatusServiceUnavailable && !p.deps.Rejected(exchange.Status, exchange.Header)
 }
--- a/entry/process/prober/prober_test.go
+++ b/entry/process/prober/prober_test.go
@@ -21,56 +21,57 @@
 
 var service = &matcher.Service{Name: "s", HealthPath: "/health"}
 
-// list lists an upstream that answers by a script.
-func list(t *testing.T, known *tracker.Tracker, id string, script http.HandlerFunc) {
+// addUpstream starts an HTTP server with the given handler and adds it as an upstream.
+func addUpstream(t *testing.T, upstreams *tracker.Tracker, id string, handler http.HandlerFunc) {
 	t.Helper()
-	server := httptest.NewServer(script)
+	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
-	known.Put(time.Now(), tracker.Upstream{ID: id, Service: "s", Address: strings.TrimPrefix(server.URL, "http://")})
+	upstreams.Put(time.Now(), tracker.Upstream{ID: id, Service: "s", Address: strings.TrimPrefix(server.URL, "http://")})
 }
 
-func newProber(known *tracker.Tracker) *prober.Prober {
+func newProber(upstreams *tracker.Tracker) *prober.Prober {
 	return prober.New(prober.Deps{
-		Tracker: known, Carrier: carrier.New(time.Now), Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(),
+		Tracker: upstreams, Carrier: carrier.New(time.Now), Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(),
 		Rejected: func(_ int, h http.Header) bool { return h.Get("Not-Run") != "" },
 	})
 }
 
-func leaves(known *tracker.Tracker, id string) bool {
-	u, _ := known.Get(id)
+func isLeaving(upstreams *tracker.Tracker, id string) bool {
+	u, _ := upstreams.Get(id)
 	return time.Now().Before(u.LeavesUntil)
 }
 
-// An upstream that is busy or full, or cannot be reached, must not count as one that
-// leaves.
-func TestOnlyFailedChecksCount(t *testing.T) {
-	known := tracker.New()
+// Only an upstream that reports itself unhealthy may be marked as leaving. One that is
+// busy, full or unreachable must not be.
+func TestOnlyFailedProbesMarkUpstreamsLeaving(t *testing.T) {
+	upstreams := tracker.New()
 	busy := make(chan struct{})
-	list(t, known, "sound", func(http.ResponseWriter, *http.Request) {})
-	list(t, known, "leaves", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
-	list(t, known, "busy", func(http.ResponseWriter, *http.Request) { <-busy })
+	addUpstream(t, upstreams, "sound", func(http.ResponseWriter, *http.Request) {})
+	addUpstream(t, upstreams, "leaves", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
+	addUpstream(t, upstreams, "busy", func(http.ResponseWriter, *http.Request) { <-busy })
 	t.Cleanup(func() { close(busy) })
-	list(t, known, "full", func(w http.ResponseWriter, _ *http.Request) {
+	addUpstream(t, upstreams, "full", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	known.Put(time.Now(), tracker.Upstream{ID: "gone", Service: "s", Address: "127.0.0.1:1"})
-	began := time.Now()
-	newProber(known).Probe(t.Context(), service)
-	assert.Assert(t, time.Since(began) < time.Second, "it took %v", time.Since(began))
-	for id, is := range map[string]bool{"sound": false, "leaves": true, "busy": false, "full": false, "gone": false} {
-		assert.Equal(t, leaves(known, id), is, id)
+	upstreams.Put(time.Now(), tracker.Upstream{ID: "gone", Service: "s", Address: "127.0.0.1:1"})
+	start := time.Now()
+	newProber(upstreams).Probe(t.Context(), service)
+	assert.Assert(t, time.Since(start) < time.Second, "it took %v", time.Since(start))
+	for id, want := range map[string]bool{"sound": false, "leaves": true, "busy": false, "full": false, "gone": false} {
+		assert.Equal(t, isLeaving(upstreams, id), want, id)
 	}
 }
 
-// Many requests are declined at the same moment. Each upstream is asked once.
-func TestRequestsShareOneRound(t *testing.T) {
-	known := tracker.New()
-	asked := atomic.Int32{}
+// Many requests are declined at the same moment and all call Probe. Each upstream must
+// be probed only once.
+func TestConcurrentRequestsShareOneProbeRound(t *testing.T) {
+	upstreams := tracker.New()
+	probed := atomic.Int32{}
 	for i := range 4 {
-		list(t, known, fmt.Sprint("u", i), func(http.ResponseWriter, *http.Request) { asked.Add(1) })
+		addUpstream(t, upstreams, fmt.Sprint("u", i), func(http.ResponseWriter, *http.Request) { probed.Add(1) })
 	}
-	p := newProber(known)
+	p := newProber(upstreams)
 	done := make(chan struct{})
 	for range 8 {
 		go func() {
@@ -81,5 +82,5 @@
 	for range 8 {
 		<-done
 	}
-	assert.Equal(t, asked.Load(), int32(4))
+	assert.Equal(t, probed.Load(), int32(4))
 }
