--- a/entry/process/member/member.go
+++ b/entry/process/member/member.go
@@ -1,12 +1,12 @@
-// Package member keeps what one VM knows of the others: from the platform's
-// lagging list, from heartbeats heard directly, and from what peers have heard.
-// It is pure: the time is an argument. It decides nothing that must be agreed;
-// what follows from its mistakes is bounded by claims on the log.
+// Package member keeps one VM's view of the other VMs. It combines the platform's
+// list, which lags, with heartbeats received directly and heartbeats that peers report
+// having received. It does no I/O and reads no clock: callers pass the time. It makes
+// no decision that needs consensus; claims on the log limit the effect of a wrong view.
 //
-// With the list alone, a dead VM would keep its upstreams until the platform
-// takes note; with direct heartbeats alone, a cut between two VMs would have
-// each take the other's. The thresholds: heartbeats come every half second, so
-// three are missed before a VM is suspected and five before others take over.
+// With the list alone, a dead VM would keep its upstreams until the platform notices.
+// With direct heartbeats alone, two VMs that cannot reach each other would each take
+// the other's upstreams. Heartbeats are sent every half second; a VM is suspected after
+// three missed heartbeats, and others take over its upstreams after five.
 package member
 
 import (
@@ -19,41 +19,42 @@
 	"github.com/heathervane/heathervane/library/lister"
 )
 
-// A State is what is thought of a VM.
+// A State is a VM's state as seen by this VM.
 type State int
 
 const (
-	// Live VMs have been heard lately.
+	// Live means that a heartbeat was received recently.
 	Live State = iota
-	// Suspect VMs have missed some heartbeats.
+	// Suspect means that some heartbeats were missed.
 	Suspect
-	// Gone VMs have not been heard for long; they may still run.
+	// Gone means that no heartbeat was received for GoneAfter. The VM may still run.
 	Gone
-	// Leaving VMs run and take on nothing more.
+	// Leaving means that the VM runs but takes on no more work.
 	Leaving
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	return [...]string{"live", "suspect", "gone", "leaving"}[s]
 }
 
-// A Config holds a Table's constants.
+// A Config identifies this VM and holds the thresholds of a Table.
 type Config struct {
 	VM, Zone, Address string
 	Boot              uint64
-	// SuspectAfter and GoneAfter are times without a heartbeat.
+	// SuspectAfter and GoneAfter are the times without a heartbeat after which a VM is
+	// Suspect or Gone.
 	SuspectAfter, GoneAfter time.Duration
-	// AbsentAfter is how long a VM must be off the list, and not heard, before it
-	// counts as stopped by the platform. It must be longer than the list's lag,
-	// because a new VM is not on the list yet.
+	// AbsentAfter is how long a VM must be missing from the list, without a heartbeat,
+	// before it counts as stopped by the platform. It must exceed the lag of the list,
+	// because a new VM is not listed yet.
 	AbsentAfter time.Duration
 }
 
-// maxHeard bounds what a heartbeat relays of other VMs.
-const maxHeard = 16
+// maxHeardVMs is the maximum number of other VMs that a heartbeat reports on.
+const maxHeardVMs = 16
 
-// A Heartbeat is a heartbeat.
+// A Heartbeat is the message that a VM sends regularly to its peers.
 type Heartbeat struct {
 	_       struct{} `cbor:",toarray"`
 	VM      string
@@ -61,13 +62,14 @@
 	Zone    string
 	Address string
 	Leaving bool
-	// Version is the configuration in force at the sender.
+	// Version is the configuration version in force at the sender.
 	Version uint64
-	// Heard are the VMs that the sender heard itself.
+	// Heard lists the VMs from which the sender itself received a heartbeat.
 	Heard []HeardVM
 }
 
-// HeardVM says how long ago, in milliseconds, the sender heard a VM itself.
+// HeardVM reports how many milliseconds ago the sender of a Heartbeat last received
+// one directly from another VM.
 type HeardVM struct {
 	_         struct{} `cbor:",toarray"`
 	VM        string
@@ -75,20 +77,20 @@
 	AgeMillis int
 }
 
-// A Member is one VM as known here.
+// A Member is a VM as seen by this VM.
 type Member struct {
 	VM, Zone, Address string
 	Boot              uint64
 	State             State
 }
 
-// A Table is all that is known of the VMs.
+// A Table is one VM's membership table.
 type Table struct {
-	c       Config
-	leaving bool
-	vms     map[string]*vm
-	lists   int
-	first   time.Time // of the first good list
+	config      Config
+	leaving     bool
+	vms         map[string]*vm
+	listCount   int
+	firstListAt time.Time // when the first valid list was applied
 }
 
 type vm struct {
@@ -96,49 +98,49 @@
 	boot          uint64
 	leaving       bool
 	listed        bool
-	since         time.Time // first known
-	seen          time.Time // when it was found to have left the list
-	heard         time.Time // directly
-	relayed       time.Time // by a peer
+	knownSince    time.Time // when it, or a later process of it, became known
+	delistedAt    time.Time // the first list without it, or the latest one while it is listed
+	heardAt       time.Time // last heartbeat received directly
+	relayedAt     time.Time // last heartbeat received by a peer
 }
 
-// New returns a Table that knows this VM only.
-func New(c Config) *Table { return &Table{c: c, vms: map[string]*vm{}} }
+// New returns a Table that contains only this VM.
+func New(config Config) *Table { return &Table{config: config, vms: map[string]*vm{}} }
 
 // Leave marks this VM as leaving.
 func (t *Table) Leave() { t.leaving = true }
 
-func (t *Table) vm(now time.Time, id string) *vm {
+func (t *Table) findOrAdd(now time.Time, id string) *vm {
 	v := t.vms[id]
 	if v == nil {
-		v = &vm{since: now}
+		v = &vm{knownSince: now}
 		t.vms[id] = v
 	}
 	return v
 }
 
-// ApplyList takes in the platform's list.
+// ApplyList updates the table from the platform's list.
 func (t *Table) ApplyList(now time.Time, list []lister.VM) {
-	if t.lists == 0 {
-		t.first = now
+	if t.listCount == 0 {
+		t.firstListAt = now
 	}
-	t.lists++
+	t.listCount++
 	for _, v := range t.vms {
 		if v.listed {
-			v.seen = now
+			v.delistedAt = now
 		}
 		v.listed = false
 	}
-	for _, l := range list {
-		if l.ID == t.c.VM {
+	for _, entry := range list {
+		if entry.ID == t.config.VM {
 			continue
 		}
-		v := t.vm(now, l.ID)
+		v := t.findOrAdd(now, entry.ID)
 		v.listed = true
-		if v.heard.IsZero() {
-			v.zone, v.address = l.Zone, l.Address
+		if v.heardAt.IsZero() {
+			v.zone, v.address = entry.Zone, entry.Address
 		}
-		if l.State == lister.Leaving {
+		if entry.State == lister.Leaving {
 			v.leaving = true
 		}
 	}
@@ -149,77 +151,77 @@
 	}
 }
 
-// ReceiveHeartbeat takes in a heartbeat. One of an earlier process of the same VM is
-// ignored: a process that was replaced may still send.
+// ReceiveHeartbeat updates the table from a heartbeat. It ignores heartbeats of an
+// earlier process of the same VM, because a replaced process may still send them.
 func (t *Table) ReceiveHeartbeat(now time.Time, b Heartbeat) {
-	if b.VM == t.c.VM || b.VM == "" {
+	if b.VM == t.config.VM || b.VM == "" {
 		return
 	}
-	v := t.vm(now, b.VM)
+	v := t.findOrAdd(now, b.VM)
 	if b.Boot < v.boot {
 		return
 	}
 	v.boot, v.zone, v.address, v.leaving = b.Boot, b.Zone, b.Address, b.Leaving
-	v.heard = now
+	v.heardAt = now
 	for i, h := range b.Heard {
-		if i == maxHeard {
+		if i == maxHeardVMs {
 			return
 		}
-		t.relay(now, h)
+		t.applyRelayed(now, h)
 	}
 }
 
-// AddClaimant takes in a process that has written a claim on the log. It is taken for
-// living until heartbeats had the time to come: VMs that start while the list
-// lags would else not know one another, and take each other's upstreams.
+// AddClaimant adds a process that has written a claim to the log. The process counts as
+// live until its heartbeats have had time to arrive. Otherwise VMs that start while the
+// list lags would not know one another and would take each other's upstreams.
 func (t *Table) AddClaimant(now time.Time, id, zone, address string, boot uint64) {
-	if id == t.c.VM || id == "" {
+	if id == t.config.VM || id == "" {
 		return
 	}
-	v := t.vm(now, id)
-	if boot < v.boot || boot == v.boot && !v.heard.IsZero() {
+	v := t.findOrAdd(now, id)
+	if boot < v.boot || boot == v.boot && !v.heardAt.IsZero() {
 		return
 	}
-	v.boot, v.zone, v.address, v.since = boot, zone, address, now
+	v.boot, v.zone, v.address, v.knownSince = boot, zone, address, now
 }
 
-func (t *Table) relay(now time.Time, h HeardVM) {
-	if h.VM == t.c.VM || h.VM == "" || h.AgeMillis < 0 {
+func (t *Table) applyRelayed(now time.Time, h HeardVM) {
+	if h.VM == t.config.VM || h.VM == "" || h.AgeMillis < 0 {
 		return
 	}
 	v := t.vms[h.VM]
 	if v == nil || h.Boot < v.boot {
 		return
 	}
-	if at := now.Add(-time.Duration(h.AgeMillis) * time.Millisecond); at.After(v.relayed) {
-		v.relayed = at
+	if at := now.Add(-time.Duration(h.AgeMillis) * time.Millisecond); at.After(v.relayedAt) {
+		v.relayedAt = at
 	}
 }
 
-// OwnHeartbeat returns the heartbeat to send.
+// OwnHeartbeat returns the heartbeat for this VM to send.
 func (t *Table) OwnHeartbeat(now time.Time, version uint64) Heartbeat {
-	b := Heartbeat{VM: t.c.VM, Boot: t.c.Boot, Zone: t.c.Zone, Address: t.c.Address, Leaving: t.leaving, Version: version}
+	b := Heartbeat{VM: t.config.VM, Boot: t.config.Boot, Zone: t.config.Zone, Address: t.config.Address, Leaving: t.leaving, Version: version}
 	for id, v := range t.vms {
-		if !v.heard.IsZero() && now.Sub(v.heard) < t.c.GoneAfter {
-			b.Heard = append(b.Heard, HeardVM{VM: id, Boot: v.boot, AgeMillis: int(now.Sub(v.heard).Milliseconds())})
+		if !v.heardAt.IsZero() && now.Sub(v.heardAt) < t.config.GoneAfter {
+			b.Heard = append(b.Heard, HeardVM{VM: id, Boot: v.boot, AgeMillis: int(now.Sub(v.heardAt).Milliseconds())})
 		}
 	}
 	slices.SortFunc(b.Heard, func(x, y HeardVM) int {
 		return cmp.Or(cmp.Compare(x.AgeMillis, y.AgeMillis), cmp.Compare(x.VM, y.VM))
 	})
-	b.Heard = b.Heard[:min(len(b.Heard), maxHeard)]
+	b.Heard = b.Heard[:min(len(b.Heard), maxHeardVMs)]
 	return b
 }
 
 func (t *Table) state(now time.Time, v *vm) State {
-	last := latest(v.heard, v.relayed, v.since)
-	silent := now.Sub(last)
+	last := latest(v.heardAt, v.relayedAt, v.knownSince)
+	silence := now.Sub(last)
 	switch {
-	case silent >= t.c.GoneAfter:
+	case silence >= t.config.GoneAfter:
 		return Gone
 	case v.leaving:
 		return Leaving
-	case silent >= t.c.SuspectAfter:
+	case silence >= t.config.SuspectAfter:
 		return Suspect
 	}
 	return Live
@@ -229,10 +231,10 @@
 	return slices.MaxFunc(times, time.Time.Compare)
 }
 
-// IsLive says whether a process is thought to run.
+// IsLive reports whether a process is believed to be running.
 func (t *Table) IsLive(now time.Time, id string, boot uint64) bool {
-	if id == t.c.VM {
-		return boot == t.c.Boot
+	if id == t.config.VM {
+		return boot == t.config.Boot
 	}
 	v := t.vms[id]
 	if v == nil || v.boot != 0 && boot < v.boot {
@@ -241,82 +243,82 @@
 	return t.state(now, v) != Gone
 }
 
-// IsAbsent says that the platform has stopped a process: its VM has been off the
-// list, and not heard, for longer than the list can lag, or a later process of
-// the same VM has been heard.
+// IsAbsent reports whether the platform has stopped a process: its VM has been missing
+// from the list, without a heartbeat, for AbsentAfter, or a later process of the same
+// VM is known.
 func (t *Table) IsAbsent(now time.Time, id string, boot uint64) bool {
-	if id == t.c.VM {
-		return boot != t.c.Boot
+	if id == t.config.VM {
+		return boot != t.config.Boot
 	}
-	if t.lists == 0 {
+	if t.listCount == 0 {
 		return false
 	}
 	v := t.vms[id]
 	if v == nil {
-		return now.Sub(t.first) >= t.c.AbsentAfter
+		return now.Sub(t.firstListAt) >= t.config.AbsentAfter
 	}
 	if v.boot > boot {
 		return true
 	}
-	last := latest(v.seen, v.heard, v.relayed, t.first)
-	return !v.listed && now.Sub(last) >= t.c.AbsentAfter
+	last := latest(v.delistedAt, v.heardAt, v.relayedAt, t.firstListAt)
+	return !v.listed && now.Sub(last) >= t.config.AbsentAfter
 }
 
-// Members are all known VMs but those gone and off the list, this one included,
-// by name.
+// Members returns all VMs in the table, including this one, sorted by name. ApplyList
+// has removed those that are gone and off the list.
 func (t *Table) Members(now time.Time) []Member {
-	own := Member{VM: t.c.VM, Zone: t.c.Zone, Address: t.c.Address, Boot: t.c.Boot}
+	own := Member{VM: t.config.VM, Zone: t.config.Zone, Address: t.config.Address, Boot: t.config.Boot}
 	if t.leaving {
 		own.State = Leaving
 	}
-	out := []Member{own}
+	members := []Member{own}
 	for id, v := range t.vms {
-		out = append(out, Member{VM: id, Zone: v.zone, Address: v.address, Boot: v.boot, State: t.state(now, v)})
+		members = append(members, Member{VM: id, Zone: v.zone, Address: v.address, Boot: v.boot, State: t.state(now, v)})
 	}
-	slices.SortFunc(out, func(a, b Member) int { return cmp.Compare(a.VM, b.VM) })
-	return out
+	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.VM, b.VM) })
+	return members
 }
 
-// CanHold says whether a member may hold upstreams. One that was never heard has no
-// boot number and can't be named in a claim yet.
+// CanHold reports whether a member may hold upstreams. A member that is known only from
+// the list has no boot number and cannot be named in a claim yet.
 func CanHold(m Member) bool {
 	return m.Boot != 0 && m.State != Gone && m.State != Leaving
 }
 
-// PreferredHolder names the process that ought to hold an upstream: the highest of all
-// hashes of the upstream with a VM (rendezvous hashing), so that a VM's death
-// moves only what it held.
-func PreferredHolder(upstream string, members []Member) (id string, boot uint64) {
+// PreferredHolder returns the process that should hold an upstream. It uses rendezvous
+// hashing, so that the loss of a VM moves only the upstreams that it held.
+func PreferredHolder(upstream string, members []Member) (holder string, boot uint64) {
 	var best uint64
 	for _, m := range members {
 		if !CanHold(m) {
 			continue
 		}
-		if h := xxhash.Sum64String(upstream + "/" + m.VM); id == "" || h > best {
-			id, boot, best = m.VM, m.Boot, h
+		if h := xxhash.Sum64String(upstream + "/" + m.VM); holder == "" || h > best {
+			holder, boot, best = m.VM, m.Boot, h
 		}
 	}
-	return id, boot
+	return holder, boot
 }
 
-// mesh is up to how many VMs each is linked to all: today's fleets are smaller.
-const mesh = 12
+// fullMeshSize is the number of other VMs from which HeartbeatPeers stops linking to
+// all of them. Current fleets are smaller.
+const fullMeshSize = 12
 
-// HeartbeatPeers are the VMs to keep a link to for heartbeats: all in a small fleet, else
-// the next few in an order that is this VM's own and changes with the turn.
-func HeartbeatPeers(own string, members []Member, few int, turn uint64) []Member {
-	var out []Member
+// HeartbeatPeers returns the VMs to keep a heartbeat link to: all of them in a small
+// fleet, otherwise the first few in an order that depends on this VM and on turn.
+func HeartbeatPeers(self string, members []Member, limit int, turn uint64) []Member {
+	var peers []Member
 	for _, m := range members {
-		if m.VM != own && m.Address != "" {
-			out = append(out, m)
+		if m.VM != self && m.Address != "" {
+			peers = append(peers, m)
 		}
 	}
-	if len(out) < mesh {
-		return out
+	if len(peers) < fullMeshSize {
+		return peers
 	}
 	hash := func(m Member) uint64 {
-		return xxhash.Sum64String(own+"/"+m.VM) ^ (turn * 0x9e3779b97f4a7c15)
+		return xxhash.Sum64String(self+"/"+m.VM) ^ (turn * 0x9e3779b97f4a7c15)
 	}
-	slices.SortFunc(out, func(a, b Member) int { return cmp.Compare(hash(a), hash(b)) })
-	return out[:min(few, len(out))]
+	slices.SortFunc(peers, func(a, b Member) int { return cmp.Compare(hash(a), hash(b)) })
+	return peers[:min(limit, len(peers))]
 }
--- a/entry/process/member/member_test.go
+++ b/entry/process/member/member_test.go
@@ -13,14 +13,14 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func table() *member.Table {
+func newTable() *member.Table {
 	return member.New(member.Config{
 		VM: "a", Zone: "z", Address: "a:1", Boot: 10,
 		SuspectAfter: 1500 * time.Millisecond, GoneAfter: 2500 * time.Millisecond, AbsentAfter: 15 * time.Second,
 	})
 }
 
-func state(t *testing.T, m *member.Table, now time.Time, vm string) member.State {
+func memberState(t *testing.T, m *member.Table, now time.Time, vm string) member.State {
 	t.Helper()
 	for _, o := range m.Members(now) {
 		if o.VM == vm {
@@ -31,8 +31,8 @@
 	return 0
 }
 
-func TestStates(t *testing.T) {
-	m := table()
+func TestStateByTimeSinceHeartbeat(t *testing.T) {
+	m := newTable()
 	m.ReceiveHeartbeat(epoch, member.Heartbeat{VM: "b", Boot: 5, Address: "b:1"})
 	tests := []struct {
 		after time.Duration
@@ -44,30 +44,30 @@
 		{2500 * time.Millisecond, member.Gone},
 	}
 	for _, test := range tests {
-		assert.Equal(t, state(t, m, epoch.Add(test.after), "b"), test.state, "after %v", test.after)
+		assert.Equal(t, memberState(t, m, epoch.Add(test.after), "b"), test.state, "after %v", test.after)
 	}
 	m.ReceiveHeartbeat(epoch, member.Heartbeat{VM: "b", Boot: 5, Leaving: true})
-	assert.Equal(t, state(t, m, epoch, "b"), member.Leaving)
+	assert.Equal(t, memberState(t, m, epoch, "b"), member.Leaving)
 }
 
-// The way from b to a is cut, all others stand. c has heard b, so a must not
-// take b's upstreams over: they would change hands for as long as the cut lasts.
-func TestOneWayCut(t *testing.T) {
-	m := table()
+// Only the path from b to a is broken. c has received heartbeats from b, so a must not
+// take over b's upstreams: they would move back and forth while the path is broken.
+func TestRelayedHeartbeatKeepsVMLive(t *testing.T) {
+	m := newTable()
 	m.ReceiveHeartbeat(epoch, member.Heartbeat{VM: "b", Boot: 5})
 	now := epoch.Add(10 * time.Second)
 	m.ReceiveHeartbeat(now, member.Heartbeat{VM: "c", Boot: 6, Heard: []member.HeardVM{{VM: "b", Boot: 5, AgeMillis: 100}}})
 	assert.Assert(t, m.IsLive(now, "b", 5))
-	// What c heard long ago counts for nothing.
+	// A heartbeat that c received long ago does not count.
 	now = now.Add(10 * time.Second)
 	m.ReceiveHeartbeat(now, member.Heartbeat{VM: "c", Boot: 6, Heard: []member.HeardVM{{VM: "b", Boot: 5, AgeMillis: 5000}}})
 	assert.Assert(t, !m.IsLive(now, "b", 5))
 }
 
-// A VM is replaced under its name. The old process may still send, frozen and
-// woken; it must not pass for the new one.
-func TestReplacedProcess(t *testing.T) {
-	m := table()
+// A VM is replaced under the same name. The old process may still send heartbeats, for
+// example after a pause, and must not be taken for the new one.
+func TestHeartbeatOfReplacedProcessIsIgnored(t *testing.T) {
+	m := newTable()
 	m.ApplyList(epoch, []lister.VM{{ID: "b", Address: "b:1"}})
 	m.ReceiveHeartbeat(epoch, member.Heartbeat{VM: "b", Boot: 5})
 	m.ReceiveHeartbeat(epoch, member.Heartbeat{VM: "b", Boot: 6})
@@ -76,13 +76,13 @@
 	assert.Assert(t, !m.IsLive(epoch, "b", 5))
 	assert.Assert(t, m.IsAbsent(epoch, "b", 5))
 	assert.Assert(t, !m.IsAbsent(epoch, "b", 6))
-	assert.Equal(t, state(t, m, epoch, "b"), member.Live)
+	assert.Equal(t, memberState(t, m, epoch, "b"), member.Live)
 }
 
-// A VM is known by its claim only. It counts as living for as long as its first
-// heartbeats may take, and no longer.
-func TestMet(t *testing.T) {
-	m := table()
+// A VM that is known only by its claim counts as live until GoneAfter, which leaves time
+// for its first heartbeats, and no longer.
+func TestClaimantIsLiveUntilGoneAfter(t *testing.T) {
+	m := newTable()
 	m.AddClaimant(epoch, "b", "z", "b:1", 5)
 	assert.Assert(t, m.IsLive(epoch, "b", 5))
 	assert.Equal(t, len(member.HeartbeatPeers("a", m.Members(epoch), 3, 1)), 1)
@@ -95,9 +95,9 @@
 	assert.Assert(t, !m.IsLive(later, "b", 5))
 }
 
-// Absent frees a dead VM's seat and what it left at engines. Said too early, it
-// cuts a VM that only was slow to appear on the list, or that nobody hears.
-func TestAbsent(t *testing.T) {
+// A dead VM's seat, and what it left at engines, are freed once IsAbsent holds. Too
+// early, that cuts off a VM that is only slow to appear on the list or is unreachable.
+func TestIsAbsent(t *testing.T) {
 	listed := []lister.VM{{ID: "b", Address: "b:1"}}
 	at := func(s int) time.Time { return epoch.Add(time.Duration(s) * time.Second) }
 	tests := []struct {
@@ -119,15 +119,15 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			m := table()
+			m := newTable()
 			test.do(m)
 			assert.Equal(t, m.IsAbsent(at(test.at), "b", 5), test.absent)
 		})
 	}
 }
 
-// A VM's death moves only what it held.
-func TestShouldMovesLittle(t *testing.T) {
+// The loss of a VM must move only the upstreams that it held.
+func TestPreferredHolderMovesOnlyUpstreamsOfDeadVM(t *testing.T) {
 	var members []member.Member
 	for i := range 8 {
 		members = append(members, member.Member{VM: fmt.Sprintf("v%d", i), Boot: 1})
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestPeersOfLargeFleet(t *testing.T) {
+func TestHeartbeatPeersAreLimitedInLargeFleet(t *testing.T) {
 	var members []member.Member
 	for i := range 330 {
 		members = append(members, member.Member{VM: fmt.Sprintf("v%d", i), Address: "x:1", Boot: 1})
