--- a/entry/process/gossiper/gossiper.go
+++ b/entry/process/gossiper/gossiper.go
@@ -1,16 +1,18 @@
-// Package gossiper has each VM tell others over UDP that it lives, what it bears
-// and how far it has read the platform's records, and keeps what they tell. It
-// answers a platform's list of VMs that lags: without it a VM would ask those that
-// have died, and go on with old records while others have new ones.
+// Package gossiper exchanges heartbeats between VMs over UDP. A heartbeat says that its
+// sender is alive, how much CPU it has and how far it has read the platform's records;
+// the package keeps what other VMs report. It makes up for a platform whose list of VMs
+// lags: without it a VM would send requests to dead VMs, and continue with old records
+// while other VMs have newer ones.
 //
-// Two VMs of each zone relay: the others beat to these, and these tell all VMs of
-// their zone, and the relays of other zones, what they have heard. So what a VM
-// sends and hears does not grow with their number, but for one byte and a digest
-// of each that lives. Nobody elects relays: they are the first of those that live
-// and that the platform serves, by the order in which VMs lead.
+// Two VMs of each zone act as relays. The other VMs send heartbeats to the relays of
+// their zone, and the relays forward what they received to all VMs of their zone and to
+// the relays of other zones. The number of datagrams that a VM sends and receives
+// therefore does not grow with the fleet; only their size does, by a digest and one byte
+// per live VM. There is no election: the relays are the highest-ranked live VMs of the
+// zone, in the order that also determines leaders.
 //
-// Everything it tells is the present state and no change of it, so that lost
-// and reordered datagrams do no harm. It decides nothing.
+// Messages carry the current state, not changes to it, so lost and reordered datagrams
+// do no harm. The package makes no decisions.
 package gossiper
 
 import (
@@ -26,117 +28,120 @@
 )
 
 const (
-	// spreadAfter is how long a change of what VMs share waits for others that come
-	// with it: an upstream that dies breaks many streams at once.
-	spreadAfter = 5 * time.Millisecond
-	// HeartbeatInterval is how often a VM tells that it lives, and how far it has read,
-	// and rollEvery how often relays tell which VMs live.
+	// broadcastDelay is how long a change of the shared state is held back to batch it
+	// with others: an upstream that dies breaks many streams at once.
+	broadcastDelay = 5 * time.Millisecond
+	// HeartbeatInterval is how often a VM sends a heartbeat with its read positions.
 	HeartbeatInterval = 250 * time.Millisecond
-	rollEvery         = time.Second
-	// standingEvery is how often a VM that does not relay tells the relays all that is
-	// shared, in parts: what it found out alone may never have come to them.
-	standingEvery = 5 * time.Second
-	// relays is how many VMs of a zone relay: when one dies the other goes on.
-	relays = 2
-	// silent is after how long without a word a VM is not asked for anything, and
-	// goneAfter after how long its part of common bounds is free: a VM that
-	// cannot be heard may still send to upstreams.
-	silent    = 1500 * time.Millisecond
+	// rosterInterval is how often a relay sends the list of VMs that it knows to be live.
+	rosterInterval = time.Second
+	// sharedPartInterval is how often a VM that is not a relay sends the next part of the
+	// whole shared state to the relays: a change that only this VM found may never have
+	// reached them.
+	sharedPartInterval = 5 * time.Second
+	// relaysPerZone is the number of relays of a zone. When one dies, the other remains.
+	relaysPerZone = 2
+	// unreachableAfter is the silence after which no requests are sent to a VM.
+	unreachableAfter = 1500 * time.Millisecond
+	// goneAfter is the silence after which a VM's share of fleet-wide limits is released.
+	// It is longer, because an unreachable VM may still send to upstreams.
 	goneAfter = 8 * time.Second
-	// relayDelay is by how much later a VM is heard of that is heard through a relay.
-	relayDelay = rollEvery + HeartbeatInterval
-	// forgotten is after how long an address without a word is tried no more,
-	// and rareEvery how often a silent one is tried until then.
-	forgotten = 3 * time.Minute
-	rareEvery = 2 * time.Second
-	// settling is how long a new process takes all VMs that it knows by name for
-	// alive, and at least assumed: until it has heard of the others, its parts of
-	// common bounds must be small.
-	settling = 3 * time.Second
-	assumed  = 16
+	// relayDelay is the additional delay of a heartbeat that arrives through a relay.
+	relayDelay = rosterInterval + HeartbeatInterval
+	// forgetAfter is the silence after which an address is removed.
+	forgetAfter = 3 * time.Minute
+	// silentRetryInterval is how often messages are sent to a silent peer until then.
+	silentRetryInterval = 2 * time.Second
+	// startupPeriod is how long a new process counts all VMs that it knows by name as
+	// live, and assumes at least minAssumedVMs. Until it has received heartbeats from the
+	// other VMs, its share of fleet-wide limits must be small.
+	startupPeriod = 3 * time.Second
+	minAssumedVMs = 16
 )
 
-// A Sender sends datagrams. It does not block.
+// A Sender sends datagrams without blocking.
 type Sender interface {
 	Send(to netip.AddrPort, data []byte) error
 }
 
-// A Timer calls back every so often, until it is told to stop.
+// A Timer calls a function at a fixed interval until the subscription is stopped.
 type Timer interface {
-	Subscribe(every time.Duration, call func(time.Time)) (stop func())
+	Subscribe(interval time.Duration, callback func(time.Time)) (stop func())
 }
 
-// A SharedState is what all VMs know together, which each may change. It is told as the
-// present state, in parts that fit a datagram each, and taken in any order.
+// A SharedState is state that is replicated to all VMs and that each of them may change.
+// It is sent as the current state, in parts that each fit a datagram and that may be
+// merged in any order.
 type SharedState interface {
-	// PendingChanges is what changed and is still to be told, with own only what this VM found
-	// out itself.
-	PendingChanges(own bool) [][]byte
-	// NextPart is a part of all, another each time, and All is all of it.
+	// PendingChanges returns the changes that are still to be sent; with ownOnly, only
+	// those that this VM made itself.
+	PendingChanges(ownOnly bool) [][]byte
+	// NextPart returns a part of the whole state, the next one at each call.
 	NextPart() [][]byte
+	// All returns all parts of the whole state.
 	All() [][]byte
-	// Merge takes a part in, and says whether it was news.
-	Merge(data []byte) (news bool)
+	// Merge merges a part from another VM and reports whether it changed anything.
+	Merge(data []byte) (changed bool)
 }
 
-// A Gossiper is one VM's side of the exchange.
+// A Gossiper sends and receives the heartbeats of one VM.
 type Gossiper struct {
-	me     allocator.Member
-	boot   int64
-	sender Sender
-	now    func() time.Time
-	log    zerolog.Logger
-	ends   func() map[string]StreamPosition
-
-	mu    sync.Mutex
-	began time.Time
-	seq   uint64
-	peers map[netip.AddrPort]*peer
-	// named are peers by the digest of their names.
-	named  map[uint32]*peer
-	beatAt time.Time
-	rollAt time.Time
-	// refusedAt is when the platform last did not let this VM read.
-	refusedAt time.Time
-	// rolled is the address of the last peer that was told of in full.
-	rolled netip.AddrPort
-	vms    []string
-	vmsAt  time.Time
-	// members are those that can be heard, as of membersAt.
-	members   []allocator.Member
-	membersAt time.Time
-	// ahead is called when another VM turns out to have read on; nil where nobody
-	// listens.
-	ahead func()
-	// shared is what all VMs know together; nil where they share nothing.
+	self      allocator.Member
+	boot      int64
+	sender    Sender
+	now       func() time.Time
+	log       zerolog.Logger
+	positions func() map[string]StreamPosition
+
+	mu        sync.Mutex
+	startedAt time.Time
+	seq       uint64
+	peers     map[netip.AddrPort]*peer
+	// peersByDigest indexes peers by the digest of their names.
+	peersByDigest   map[uint32]*peer
+	lastHeartbeatAt time.Time
+	lastRosterAt    time.Time
+	// lastRefusedAt is when the platform last refused a read of this VM.
+	lastRefusedAt time.Time
+	// lastDescribed is the address of the peer that was last sent in full in turn.
+	lastDescribed netip.AddrPort
+	// liveVMs caches the result of LiveVMs, as of liveVMsAt.
+	liveVMs   []string
+	liveVMsAt time.Time
+	// reachable caches the result of ReachableMembers, as of reachableAt.
+	reachable   []allocator.Member
+	reachableAt time.Time
+	// onPeerAhead is called when another VM reports that it has read further than before;
+	// it may be nil.
+	onPeerAhead func()
+	// shared is the state replicated to all VMs, or nil if there is none.
 	shared SharedState
 	timer  Timer
-	// partAt is when it last told a part of all.
-	partAt time.Time
-	// soon ends the subscription by which changes of it are about to be told; nil
-	// where none are.
-	soon func()
+	// lastPartAt is when a part of the whole shared state was last sent.
+	lastPartAt time.Time
+	// stopBroadcast stops the timer of a scheduled broadcast; nil if none is scheduled.
+	stopBroadcast func()
 }
 
-// New returns a Gossiper of one run of a VM's process. ends tells how far it has
-// read each stream of records.
-func New(me allocator.Member, boot int64, s Sender, ends func() map[string]StreamPosition, now func() time.Time, log zerolog.Logger) *Gossiper {
+// New returns a Gossiper for one run of a VM's process, which boot identifies. positions
+// returns how far this VM has read each stream of records.
+func New(self allocator.Member, boot int64, sender Sender, positions func() map[string]StreamPosition, now func() time.Time, log zerolog.Logger) *Gossiper {
 	return &Gossiper{
-		me: me, boot: boot, sender: s, now: now, log: log, ends: ends, began: now(),
-		peers: make(map[netip.AddrPort]*peer), named: make(map[uint32]*peer),
+		self: self, boot: boot, sender: sender, now: now, log: log, positions: positions, startedAt: now(),
+		peers: make(map[netip.AddrPort]*peer), peersByDigest: make(map[uint32]*peer),
 	}
 }
 
-// AddPeer notes a VM that need not live.
+// AddPeer adds a VM that is known by name. It need not be alive.
 func (g *Gossiper) AddPeer(m allocator.Member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.meet(m)
+	g.findOrAddPeer(m)
 }
 
-// meet is what is known of a VM; nil for this one.
-func (g *Gossiper) meet(m allocator.Member) *peer {
-	if m.Address == g.me.Address {
+// findOrAddPeer returns the peer for a VM, or nil for this VM.
+func (g *Gossiper) findOrAddPeer(m allocator.Member) *peer {
+	if m.Address == g.self.Address {
 		return nil
 	}
 	p, ok := g.peers[m.Address]
@@ -146,211 +151,213 @@
 		}
 		return p
 	}
-	p = &peer{Member: m, known: g.now(), streams: make(map[string]reading)}
+	p = &peer{Member: m, knownSince: g.now(), positions: make(map[string]peerPosition)}
 	g.peers[m.Address] = p
-	g.named[digest(m.VM)] = p
+	g.peersByDigest[digest(m.VM)] = p
 	return p
 }
 
-// Tick sends what is due. It reads the streams' ends without the lock: whoever
-// keeps the records may be asking this package at the same moment, and would wait
-// for this one while this one waits for it.
+// Tick sends a heartbeat if one is due. It calls positions without holding the lock: the
+// owner of the records may be calling into this package at the same time, and both would
+// deadlock.
 func (g *Gossiper) Tick(now time.Time) {
 	g.mu.Lock()
-	due := now.Sub(g.beatAt) >= HeartbeatInterval
+	due := now.Sub(g.lastHeartbeatAt) >= HeartbeatInterval
 	if due {
-		g.beatAt = now
+		g.lastHeartbeatAt = now
 	}
 	g.mu.Unlock()
 	if !due {
 		return
 	}
-	ends := g.ends()
+	positions := g.positions()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.beat(now, ends)
+	g.sendHeartbeat(now, positions)
 }
 
-func (g *Gossiper) beat(now time.Time, ends map[string]StreamPosition) {
-	m := g.report(now, ends)
-	for _, end := range ends {
-		if end.Failing {
-			g.refusedAt = now
+func (g *Gossiper) sendHeartbeat(now time.Time, positions map[string]StreamPosition) {
+	m := g.newReport(now, positions)
+	for _, position := range positions {
+		if position.Failing {
+			g.lastRefusedAt = now
 		}
 	}
-	g.greet(now, m)
-	first := g.first(now)
-	roll := now.Sub(g.rollAt) >= rollEvery
-	defer g.spread(now, first, true)
-	if !g.relays(first) {
-		g.send(now, m, g.toRelays(first))
+	g.sendToNewPeers(now, m)
+	relays := g.relaysByZone(now)
+	sendRoster := now.Sub(g.lastRosterAt) >= rosterInterval
+	defer g.broadcast(now, relays, true)
+	if !g.isRelay(relays) {
+		g.send(now, m, g.toLocalRelays(relays))
 		return
 	}
-	far := m
-	m.Far, m.Refused = g.farReadings(now), g.refused(now)
-	if roll {
-		g.rollAt = now
-		m.Alive, m.Peers = g.alive(now, ""), g.some(now)
-		far.Alive, far.Peers = g.alive(now, g.me.Zone), m.Peers
+	remote := m
+	m.RemotePositions, m.Refused = g.remotePositions(now), g.refusedDigests(now)
+	if sendRoster {
+		g.lastRosterAt = now
+		m.PeerAges, m.Peers = g.encodePeerAges(now, ""), g.describePeers(now)
+		remote.PeerAges, remote.Peers = g.encodePeerAges(now, g.self.Zone), m.Peers
 	}
-	g.send(now, m, g.toZone)
-	g.send(now, far, g.toFar(first))
+	g.send(now, m, g.toLocalZone)
+	g.send(now, remote, g.toRemoteRelays(relays))
 }
 
-// relays says that this VM relays, by those that do.
-func (g *Gossiper) relays(first map[string][]allocator.Member) bool {
-	return names(first[g.me.Zone], g.me.Address)
+// isRelay reports whether this VM is among the given relays.
+func (g *Gossiper) isRelay(relays map[string][]allocator.Member) bool {
+	return containsAddress(relays[g.self.Zone], g.self.Address)
 }
 
-// toRelays chooses the relays of this zone, toZone all VMs of it, and toFar the
-// relays of other zones.
-func (g *Gossiper) toRelays(first map[string][]allocator.Member) func(*peer) bool {
-	return func(p *peer) bool { return p.Zone == g.me.Zone && names(first[p.Zone], p.Address) }
+// toLocalRelays selects the relays of this zone.
+func (g *Gossiper) toLocalRelays(relays map[string][]allocator.Member) func(*peer) bool {
+	return func(p *peer) bool { return p.Zone == g.self.Zone && containsAddress(relays[p.Zone], p.Address) }
 }
 
-func (g *Gossiper) toZone(p *peer) bool { return p.Zone == g.me.Zone }
+// toLocalZone selects all VMs of this zone.
+func (g *Gossiper) toLocalZone(p *peer) bool { return p.Zone == g.self.Zone }
 
-func (g *Gossiper) toFar(first map[string][]allocator.Member) func(*peer) bool {
+// toRemoteRelays selects the relays of the other zones.
+func (g *Gossiper) toRemoteRelays(relays map[string][]allocator.Member) func(*peer) bool {
 	return func(p *peer) bool {
-		// Where none can be heard in a zone any more, all are tried: nobody knows who
-		// relays there.
-		return p.Zone != g.me.Zone && (len(first[p.Zone]) == 0 || names(first[p.Zone], p.Address))
+		// If no VM of a zone is live as far as is known, all of them are selected, because
+		// its relays are unknown.
+		return p.Zone != g.self.Zone && (len(relays[p.Zone]) == 0 || containsAddress(relays[p.Zone], p.Address))
 	}
 }
 
-func names(all []allocator.Member, at netip.AddrPort) bool {
-	return slices.ContainsFunc(all, func(m allocator.Member) bool { return m.Address == at })
+func containsAddress(members []allocator.Member, address netip.AddrPort) bool {
+	return slices.ContainsFunc(members, func(m allocator.Member) bool { return m.Address == address })
 }
 
-// greet tells VMs that this process has not met before that it is there.
-func (g *Gossiper) greet(now time.Time, m message) {
-	g.send(now, m, func(p *peer) bool { return p.tried.IsZero() && p.direct.IsZero() })
+// sendToNewPeers sends a message to the peers with which this process has exchanged
+// nothing yet.
+func (g *Gossiper) sendToNewPeers(now time.Time, m message) {
+	g.send(now, m, func(p *peer) bool { return p.lastSentAt.IsZero() && p.directAt.IsZero() })
 }
 
-// SendHello tells the VMs that this process knows by name only that it is there, and
-// they answer. After a restart of many VMs each asks for places within
-// milliseconds, and until a leader has heard of those that ask it serves none.
+// SendHello sends a heartbeat to the VMs that this process knows only by name, and they
+// reply. After a restart of many VMs each of them requests slots within milliseconds, and
+// a leader serves no VM from which it has not received a heartbeat.
 func (g *Gossiper) SendHello() {
-	ends := g.ends()
+	positions := g.positions()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	g.greet(now, g.report(now, ends))
+	g.sendToNewPeers(now, g.newReport(now, positions))
 }
 
-// PublishOffsets tells the VMs of this zone at once how far this one has read: those that
-// start now know nothing until then.
+// PublishOffsets sends this VM's read positions to the VMs of its zone at once, because
+// VMs that are just starting have no records until then.
 func (g *Gossiper) PublishOffsets() {
-	ends := g.ends()
+	positions := g.positions()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	g.send(now, g.report(now, ends), func(p *peer) bool { return p.Zone == g.me.Zone })
+	g.send(now, g.newReport(now, positions), func(p *peer) bool { return p.Zone == g.self.Zone })
 }
 
-// reply answers a VM that has just started.
+// reply answers the first message of a VM that has just started.
 func (g *Gossiper) reply(to netip.AddrPort) {
-	ends := g.ends()
+	positions := g.positions()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	m := g.report(now, ends)
+	m := g.newReport(now, positions)
 	m.Reply = true
 	g.send(now, m, func(p *peer) bool { return p.Address == to })
 }
 
-// report is what this VM says of itself, and how far it has read.
-func (g *Gossiper) report(now time.Time, ends map[string]StreamPosition) message {
-	m := g.message()
-	m.Streams = wireStreams(now, ends)
+// newReport returns a message with this VM's state and read positions.
+func (g *Gossiper) newReport(now time.Time, positions map[string]StreamPosition) message {
+	m := g.newMessage()
+	m.Streams = encodePositions(now, positions)
 	return m
 }
 
-// OnPeerAhead has a function called when another VM turns out to have read on. It is
-// called once, before the Gossiper is used.
-func (g *Gossiper) OnPeerAhead(ahead func()) { g.ahead = ahead }
+// OnPeerAhead sets a function to call when another VM reports that it has read further
+// than before. It must be called at most once, before the Gossiper is used.
+func (g *Gossiper) OnPeerAhead(call func()) { g.onPeerAhead = call }
 
-func wireStreams(now time.Time, ends map[string]StreamPosition) []wireStream {
+func encodePositions(now time.Time, positions map[string]StreamPosition) []wireStream {
 	var streams []wireStream
-	for name, end := range ends {
-		w := wireStream{Name: name, End: end.Offset, Age: unconfirmed, Failing: end.Failing}
-		if !end.ConfirmedAt.IsZero() {
-			w.Age = now.Sub(end.ConfirmedAt).Milliseconds()
+	for name, position := range positions {
+		w := wireStream{Name: name, Offset: position.Offset, AgeMillis: unconfirmed, Failing: position.Failing}
+		if !position.ConfirmedAt.IsZero() {
+			w.AgeMillis = now.Sub(position.ConfirmedAt).Milliseconds()
 		}
 		streams = append(streams, w)
 	}
 	return streams
 }
 
-func (g *Gossiper) message() message {
+func (g *Gossiper) newMessage() message {
 	g.seq++
-	return message{VM: g.me.VM, Boot: g.boot, Seq: g.seq, Zone: g.me.Zone, Power: float32(g.me.Cores), Leaving: g.me.Leaving}
+	return message{VM: g.self.VM, Boot: g.boot, Seq: g.seq, Zone: g.self.Zone, Power: float32(g.self.Cores), Leaving: g.self.Leaving}
 }
 
-// send sends a message to the peers that are chosen, rarely to those that have
-// long been silent.
-func (g *Gossiper) send(now time.Time, m message, to func(*peer) bool) {
+// send sends a message to the selected peers. It sends less often to peers that are
+// silent, and removes those that have been silent for forgetAfter.
+func (g *Gossiper) send(now time.Time, m message, selects func(*peer) bool) {
 	var data []byte
 	for address, p := range g.peers {
-		if !to(p) {
+		if !selects(p) {
 			continue
 		}
-		if quiet := now.Sub(latest(p.heard, p.known)); quiet > g.quietFor(p, now) {
-			if quiet > forgotten {
+		if silence := now.Sub(later(p.heardAt, p.knownSince)); silence > g.allowedSilence(p, now) {
+			if silence > forgetAfter {
 				delete(g.peers, address)
-				delete(g.named, digest(p.VM))
+				delete(g.peersByDigest, digest(p.VM))
 				continue
 			}
-			if now.Sub(p.tried) < rareEvery {
+			if now.Sub(p.lastSentAt) < silentRetryInterval {
 				continue
 			}
 		}
 		if data == nil {
 			var err error
 			if data, err = cbor.Marshal(m); err != nil {
-				g.log.Error().Err(err).Msg("a message to peers was not encoded")
+				g.log.Error().Err(err).Msg("failed to encode gossip message")
 				return
 			}
 		}
-		p.tried = now
+		p.lastSentAt = now
 		if err := g.sender.Send(address, data); err != nil {
-			g.log.Debug().Str("peer", address.String()).Err(err).Msg("datagram not sent")
+			g.log.Debug().Str("peer", address.String()).Err(err).Msg("failed to send gossip datagram")
 		}
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-func everybody(*peer) bool { return true }
+func toAllPeers(*peer) bool { return true }
 
-// AnnounceLeaving tells the others that this VM is about to stop, and leads nobody.
+// AnnounceLeaving tells the other VMs that this one is about to stop and no longer leads.
 func (g *Gossiper) AnnounceLeaving() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.me.Leaving = true
-	g.send(g.now(), g.message(), everybody)
+	g.self.Leaving = true
+	g.send(g.now(), g.newMessage(), toAllPeers)
 }
 
-// AnnounceExit tells the others that this process ends.
+// AnnounceExit tells the other VMs that this process exits.
 func (g *Gossiper) AnnounceExit() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m := g.message()
-	m.Bye = true
-	g.send(g.now(), m, everybody)
+	m := g.newMessage()
+	m.Exiting = true
+	g.send(g.now(), m, toAllPeers)
 }
 
-// sorted are the addresses of all peers in their order.
-func (g *Gossiper) sorted() []netip.AddrPort {
-	all := make([]netip.AddrPort, 0, len(g.peers))
+// sortedAddresses returns the addresses of all peers in ascending order.
+func (g *Gossiper) sortedAddresses() []netip.AddrPort {
+	addresses := make([]netip.AddrPort, 0, len(g.peers))
 	for address := range g.peers {
-		all = append(all, address)
+		addresses = append(addresses, address)
 	}
-	slices.SortFunc(all, netip.AddrPort.Compare)
-	return all
+	slices.SortFunc(addresses, netip.AddrPort.Compare)
+	return addresses
 }
--- a/entry/process/gossiper/gossiper_test.go
+++ b/entry/process/gossiper/gossiper_test.go
@@ -13,17 +13,17 @@
 	"github.com/heathervane/heathervane/entry/process/gossiper"
 )
 
-// A net carries datagrams between gossipers when a test says so.
+// A network queues datagrams between gossipers until a test delivers them.
 type network struct {
-	now   time.Time
-	nodes map[netip.AddrPort]*gossiper.Gossiper
-	ends  map[netip.AddrPort]map[string]gossiper.StreamPosition
-	queue []datagram
-	lose  bool
-	// zone is that of the VMs that are added next.
+	now       time.Time
+	nodes     map[netip.AddrPort]*gossiper.Gossiper
+	positions map[netip.AddrPort]map[string]gossiper.StreamPosition
+	queue     []datagram
+	dropAll   bool
+	// zone is the zone of the VMs that are started next, if not empty.
 	zone  string
 	zones map[byte]string
-	// sent counts the datagrams to each VM.
+	// sent counts the datagrams sent to each VM.
 	sent map[netip.AddrPort]int
 }
 
@@ -32,14 +32,14 @@
 	data     []byte
 }
 
-type wire struct {
+type nodeSender struct {
 	*network
 	from netip.AddrPort
 }
 
-func (w wire) Send(to netip.AddrPort, data []byte) error {
+func (w nodeSender) Send(to netip.AddrPort, data []byte) error {
 	w.sent[to]++
-	if !w.lose {
+	if !w.dropAll {
 		w.queue = append(w.queue, datagram{w.from, to, data})
 	}
 	return nil
@@ -49,7 +49,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, i}), 7000)
 }
 
-// member is what the platform's list says of a VM.
+// member returns the entry of a VM in the platform's list.
 func (n *network) member(i byte) allocator.Member {
 	zone, ok := n.zones[i]
 	if !ok {
@@ -58,17 +58,18 @@
 	return allocator.Member{VM: "vm" + string(rune('0'+i)), Address: address(i), Zone: zone, Cores: 0.5}
 }
 
-func (n *network) add(i byte, boot int64, ends map[string]int64) *gossiper.Gossiper {
+// start starts a process of a VM, which has read the given streams up to the given offsets.
+func (n *network) start(i byte, boot int64, offsets map[string]int64) *gossiper.Gossiper {
 	a := address(i)
-	read := map[string]gossiper.StreamPosition{}
-	for stream, end := range ends {
-		read[stream] = gossiper.StreamPosition{Offset: end, ConfirmedAt: n.now.Add(-time.Second)}
+	positions := map[string]gossiper.StreamPosition{}
+	for stream, offset := range offsets {
+		positions[stream] = gossiper.StreamPosition{Offset: offset, ConfirmedAt: n.now.Add(-time.Second)}
 	}
-	n.ends[a] = read
+	n.positions[a] = positions
 	if n.zone != "" {
 		n.zones[i] = n.zone
 	}
-	g := gossiper.New(n.member(i), boot, wire{n, a}, func() map[string]gossiper.StreamPosition { return read }, func() time.Time { return n.now }, zerolog.Nop())
+	g := gossiper.New(n.member(i), boot, nodeSender{n, a}, func() map[string]gossiper.StreamPosition { return positions }, func() time.Time { return n.now }, zerolog.Nop())
 	n.nodes[a] = g
 	return g
 }
@@ -83,7 +84,7 @@
 	}
 }
 
-// run lets time pass, with datagrams delivered.
+// run advances the time and delivers datagrams meanwhile.
 func (n *network) run(d time.Duration) {
 	for end := n.now.Add(d); n.now.Before(end); n.now = n.now.Add(50 * time.Millisecond) {
 		for _, g := range n.nodes {
@@ -94,15 +95,15 @@
 }
 
 func newNetwork() *network {
-	return &network{now: time.Unix(1_000_000, 0), nodes: map[netip.AddrPort]*gossiper.Gossiper{}, sent: map[netip.AddrPort]int{}, ends: map[netip.AddrPort]map[string]gossiper.StreamPosition{}, zones: map[byte]string{}}
+	return &network{now: time.Unix(1_000_000, 0), nodes: map[netip.AddrPort]*gossiper.Gossiper{}, sent: map[netip.AddrPort]int{}, positions: map[netip.AddrPort]map[string]gossiper.StreamPosition{}, zones: map[byte]string{}}
 }
 
-// A VM dies and says nothing. It must not be asked for anything soon after; but it
-// may only be unheard, and still send, so that its part of common bounds is not
-// given away at once.
-func TestSilentVMIsNotAskedBeforeItIsForgotten(t *testing.T) {
+// A VM dies without notice. Soon after, no requests may be sent to it. Its share of
+// fleet-wide limits must be kept for longer, because it may only be unreachable and still
+// send to upstreams.
+func TestSilentVMIsUnreachableBeforeItIsGone(t *testing.T) {
 	n := newNetwork()
-	a, b := n.add(1, 1, nil), n.add(2, 1, nil)
+	a, b := n.start(1, 1, nil), n.start(2, 1, nil)
 	a.AddPeer(n.member(2))
 	n.run(4 * time.Second)
 	assert.DeepEqual(t, b.ReachableMembers(), []allocator.Member{{VM: "vm1", Address: address(1), Zone: "z", Cores: 0.5}}, cmpopts.EquateComparable(netip.AddrPort{}))
@@ -114,12 +115,12 @@
 	assert.DeepEqual(t, b.LiveVMs(), []string{"vm2"})
 }
 
-// A VM that says that it is about to stop leads nobody from then on, also where
-// that word comes late, and one that says that it ends need not be waited for.
-// Started again it is like any other.
-func TestLeavingAndReturningVMs(t *testing.T) {
+// A VM that announced that it is leaving must stay marked as leaving, also when an older
+// heartbeat arrives afterwards. A VM that announced its exit is gone at once. After a
+// restart it counts like any other VM.
+func TestLeavingExitingAndRestartedVMs(t *testing.T) {
 	n := newNetwork()
-	a, b := n.add(1, 1, nil), n.add(2, 1, nil)
+	a, b := n.start(1, 1, nil), n.start(2, 1, nil)
 	a.AddPeer(n.member(2))
 	n.run(4 * time.Second)
 	a.Tick(n.now.Add(time.Second))
@@ -135,30 +136,31 @@
 	n.deliver()
 	n.now = n.now.Add(time.Second)
 	assert.DeepEqual(t, b.LiveVMs(), []string{"vm2"})
-	again := n.add(1, 2, nil)
-	again.AddPeer(n.member(2))
+	restarted := n.start(1, 2, nil)
+	restarted.AddPeer(n.member(2))
 	n.run(time.Second)
 	assert.Assert(t, !b.ReachableMembers()[0].Leaving)
 	assert.DeepEqual(t, b.LiveVMs(), []string{"vm1", "vm2"})
 }
 
-// A process that has just started knows no other. If it took the whole of each
-// common bound for itself, all that start together would send a multiple.
-func TestNewProcessAssumesOthers(t *testing.T) {
+// A process that has just started knows no other VM. If it took the whole of each
+// fleet-wide limit for itself, processes that start together would exceed the limit
+// several times over.
+func TestNewProcessAssumesOtherVMs(t *testing.T) {
 	n := newNetwork()
-	a := n.add(1, 1, nil)
+	a := n.start(1, 1, nil)
 	assert.Assert(t, len(a.LiveVMs()) >= 9)
 	n.run(4 * time.Second)
 	assert.DeepEqual(t, a.LiveVMs(), []string{"vm1"})
 }
 
-// The platform refuses this VM and serves another: that one is ahead, and has
-// to be asked.
-func TestAheadNamesWhoHasReadFurther(t *testing.T) {
+// The platform refuses this VM but serves others. The one that has read furthest must be
+// found, so that this VM can fetch records from it.
+func TestMostAdvancedPeer(t *testing.T) {
 	n := newNetwork()
-	a := n.add(1, 1, map[string]int64{"s": 5})
-	n.add(2, 1, map[string]int64{"s": 9})
-	n.add(3, 1, map[string]int64{"s": 7})
+	a := n.start(1, 1, map[string]int64{"s": 5})
+	n.start(2, 1, map[string]int64{"s": 9})
+	n.start(3, 1, map[string]int64{"s": 7})
 	a.AddPeer(n.member(2))
 	a.AddPeer(n.member(3))
 	n.run(time.Second)
@@ -171,14 +173,15 @@
 	assert.Assert(t, !ok)
 }
 
-// Each VM that reads the platform is paid for. One reads for a zone; when it can
-// no longer be heard, another does, and a VM that hears nobody reads for itself.
+// Each VM that reads the platform has a cost, so one VM reads for its zone. When it becomes
+// unreachable, another one must take over, and a VM that receives no heartbeats reads for
+// itself.
 func TestOneVMReadsForItsZone(t *testing.T) {
 	n := newNetwork()
 	var all []*gossiper.Gossiper
 	for i := range 5 {
-		g := n.add(byte(1+i), 1, nil)
-		assert.Assert(t, g.ReadRole() == gossiper.Reader, "it has heard of nobody")
+		g := n.start(byte(1+i), 1, nil)
+		assert.Assert(t, g.ReadRole() == gossiper.Reader, "a VM that knows no other VM must read")
 		g.AddPeer(n.member(1))
 		g.AddPeer(n.member(2))
 		all = append(all, g)
@@ -195,7 +198,7 @@
 	reader := -1
 	for i, g := range all {
 		if g.ReadRole() == gossiper.Reader {
-			assert.Equal(t, reader, -1, "two read")
+			assert.Equal(t, reader, -1, "two VMs read")
 			reader = i
 		}
 	}
@@ -211,12 +214,12 @@
 	assert.Equal(t, readers, 1)
 }
 
-// The platform turns away the VM that reads for its zone and serves the others.
-// If they waited until what they have is too old, a key that was taken away
-// meanwhile would open for as long.
-func TestVMThatIsTurnedAwayReadsForNobody(t *testing.T) {
+// The platform refuses the reader of a zone but serves the other VMs. If these waited
+// until their records are too old, a key that was revoked meanwhile would be accepted for
+// as long.
+func TestRefusedReaderIsReplaced(t *testing.T) {
 	n := newNetwork()
-	all := []*gossiper.Gossiper{n.add(1, 1, nil), n.add(2, 1, nil)}
+	all := []*gossiper.Gossiper{n.start(1, 1, nil), n.start(2, 1, nil)}
 	all[0].AddPeer(n.member(2))
 	n.run(1200 * time.Millisecond)
 	reader := 0
@@ -224,93 +227,95 @@
 		reader = 1
 	}
 	assert.Assert(t, all[reader].ReadRole() == gossiper.Reader && all[1-reader].ReadRole() != gossiper.Reader)
-	ends := n.ends[address(byte(1+reader))]
-	ends["s"] = gossiper.StreamPosition{Failing: true}
+	positions := n.positions[address(byte(1+reader))]
+	positions["s"] = gossiper.StreamPosition{Failing: true}
 	n.run(300 * time.Millisecond)
 	assert.Assert(t, all[1-reader].ReadRole() == gossiper.Reader)
-	assert.Assert(t, all[reader].ReadRole() == gossiper.Reader, "it has to learn that it is served again")
-	delete(ends, "s")
+	assert.Assert(t, all[reader].ReadRole() == gossiper.Reader, "a refused VM must keep trying, to learn that it is served again")
+	delete(positions, "s")
 	n.run(300 * time.Millisecond)
 	assert.Assert(t, all[1-reader].ReadRole() != gossiper.Reader)
 }
 
-// What a peer confirms holds for whoever has read as far, and is as old as it
-// was there.
-func TestConfirmedIsAsOldAsAtThePeer(t *testing.T) {
+// A confirmation received from a peer holds for every VM that has read as far, and must
+// carry the time at which the peer received it.
+func TestConfirmedAtIsTheTimeAtThePeer(t *testing.T) {
 	n := newNetwork()
-	a := n.add(1, 1, nil)
-	n.add(2, 1, map[string]int64{"s": 9})
+	a := n.start(1, 1, nil)
+	n.start(2, 1, map[string]int64{"s": 9})
 	a.AddPeer(n.member(2))
-	began := n.now
+	start := n.now
 	n.run(300 * time.Millisecond)
-	assert.Assert(t, a.ConfirmedAt("s", 8).IsZero(), "there is more than that")
+	assert.Assert(t, a.ConfirmedAt("s", 8).IsZero(), "the stream extends beyond this offset")
 	at := a.ConfirmedAt("s", 9)
-	assert.Assert(t, at.Sub(began.Add(-time.Second)).Abs() < 60*time.Millisecond, "%v", at.Sub(began))
+	assert.Assert(t, at.Sub(start.Add(-time.Second)).Abs() < 60*time.Millisecond, "%v", at.Sub(start))
 }
 
-// Anybody may send a datagram.
+// Receive must not panic on any datagram, because anybody may send one.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{0xa1, 0x01, 0x61, 0x78})
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		n := newNetwork()
-		n.add(1, 1, nil).Receive(address(2), data)
+		n.start(1, 1, nil).Receive(address(2), data)
 	})
 }
 
-// fleet is many VMs in three zones, which have met by the platform's list.
-func fleet(n *network, zones, each byte) (all []*gossiper.Gossiper) {
-	for z := range zones {
+// newFleet starts VMs in several zones, all of which know one another from the platform's
+// list.
+func newFleet(n *network, zoneCount, vmsPerZone byte) (all []*gossiper.Gossiper) {
+	for z := range zoneCount {
 		n.zone = string(rune('a' + z))
-		for i := range each {
-			all = append(all, n.add(1+z*each+i, 1, map[string]int64{"s": int64(z)}))
+		for i := range vmsPerZone {
+			all = append(all, n.start(1+z*vmsPerZone+i, 1, map[string]int64{"s": int64(z)}))
 		}
 	}
 	for _, g := range all {
-		for i := range zones * each {
+		for i := range zoneCount * vmsPerZone {
 			g.AddPeer(n.member(1 + i))
 		}
 	}
 	return all
 }
 
-// A fleet of many VMs in three zones. Were each to tell each that it lives, a VM of
-// 60 would hear 240 datagrams a second, and one of 330 would do nothing else. All
-// have to know of all nonetheless, and of one that dies.
-func TestWhatAVMHearsDoesNotGrowWithTheFleet(t *testing.T) {
-	const zones, each = 3, 20
+// If each VM sent heartbeats to all others, a VM in a fleet of 60 would receive 240
+// datagrams a second, and one in a fleet of 330 would have no time for anything else. With
+// relays the number must stay small, while all VMs still know all others and notice when
+// one dies.
+func TestDatagramCountDoesNotGrowWithTheFleet(t *testing.T) {
+	const zones, vmsPerZone = 3, 20
 	n := newNetwork()
-	all := fleet(n, zones, each)
+	all := newFleet(n, zones, vmsPerZone)
 	n.run(4 * time.Second)
 	clear(n.sent)
 	n.run(4 * time.Second)
-	sum := 0
+	total := 0
 	for _, sent := range n.sent {
-		sum += sent
+		total += sent
 	}
-	// Two beats of each VM to its relays, two of these to each, and the relays'
-	// own, sixteen times in four seconds.
-	assert.Assert(t, sum <= 16*zones*(2*each+2*each+2*2*(zones-1)), "%d datagrams", sum)
+	// Sixteen times in four seconds each VM sends to its two relays, each relay sends to
+	// all VMs of its zone, and the relays send to those of the other zones.
+	assert.Assert(t, total <= 16*zones*(2*vmsPerZone+2*vmsPerZone+2*2*(zones-1)), "%d datagrams", total)
 	for i, g := range all {
-		assert.Equal(t, len(g.ReachableMembers()), zones*each-1, "VM %d", i)
-		assert.Equal(t, len(g.LiveVMs()), zones*each)
+		assert.Equal(t, len(g.ReachableMembers()), zones*vmsPerZone-1, "VM %d", i)
+		assert.Equal(t, len(g.LiveVMs()), zones*vmsPerZone)
 	}
 	delete(n.nodes, address(7))
 	n.run(6 * time.Second)
 	for _, i := range []int{0, 25, 59} {
-		assert.Equal(t, len(all[i].ReachableMembers()), zones*each-2, "VM %d", i)
+		assert.Equal(t, len(all[i].ReachableMembers()), zones*vmsPerZone-2, "VM %d", i)
 	}
 }
 
-// Both VMs die that relay for a zone. The others must not take one another for
-// dead with them, and another must relay and read the platform soon.
-func TestOtherVMsRelayWhenThoseThatDidAreGone(t *testing.T) {
-	const zones, each = 2, 12
+// Both relays of a zone die. The other VMs must not take one another for dead as well, and
+// another VM must soon relay and read the platform.
+func TestDeadRelaysAreReplaced(t *testing.T) {
+	const zones, vmsPerZone = 2, 12
 	n := newNetwork()
-	all := fleet(n, zones, each)
+	all := newFleet(n, zones, vmsPerZone)
 	n.run(4 * time.Second)
 	dead := map[int]bool{}
 	for range 2 {
-		for i, g := range all[:each] {
+		for i, g := range all[:vmsPerZone] {
 			if !dead[i] && g.ReadRole() == gossiper.Reader {
 				dead[i] = true
 				delete(n.nodes, address(byte(1+i)))
@@ -325,60 +330,60 @@
 		if dead[i] {
 			continue
 		}
-		assert.Equal(t, len(g.ReachableMembers()), zones*each-3, "VM %d", i)
-		if i < each && g.ReadRole() == gossiper.Reader {
+		assert.Equal(t, len(g.ReachableMembers()), zones*vmsPerZone-3, "VM %d", i)
+		if i < vmsPerZone && g.ReadRole() == gossiper.Reader {
 			readers++
 		}
 	}
 	assert.Equal(t, readers, 1)
 }
 
-// The platform answers nobody in one zone and goes on in another. VMs of the first
-// must learn of it, by whom they can hear, that the platform lives and who has read
-// further: they would use what has left meanwhile.
-func TestFarReadingsReachAllVMsOfAZone(t *testing.T) {
-	const zones, each = 2, 12
+// The platform does not answer one zone but serves another. The VMs of the first zone must
+// learn through relays that the platform is up and which VM has read further. Otherwise
+// they would keep using upstreams that have left meanwhile.
+func TestRemotePositionsReachAllVMsOfAZone(t *testing.T) {
+	const zones, vmsPerZone = 2, 12
 	n := newNetwork()
-	all := fleet(n, zones, each)
+	all := newFleet(n, zones, vmsPerZone)
 	n.run(3 * time.Second)
-	for i := range byte(each) {
-		n.ends[address(1+i)]["s"] = gossiper.StreamPosition{Offset: 0, Failing: true}
-		n.ends[address(1+each+i)]["s"] = gossiper.StreamPosition{Offset: 9, ConfirmedAt: n.now}
+	for i := range byte(vmsPerZone) {
+		n.positions[address(1+i)]["s"] = gossiper.StreamPosition{Offset: 0, Failing: true}
+		n.positions[address(1+vmsPerZone+i)]["s"] = gossiper.StreamPosition{Offset: 9, ConfirmedAt: n.now}
 	}
 	n.run(time.Second)
-	for i, g := range all[:each] {
+	for i, g := range all[:vmsPerZone] {
 		at, ok := g.MostAdvancedPeer("s", 5)
-		assert.Assert(t, ok && at.Compare(address(each)) > 0, "VM %d asks %v", i, at)
+		assert.Assert(t, ok && at.Compare(address(vmsPerZone)) > 0, "VM %d asks %v", i, at)
 		assert.Assert(t, n.now.Sub(g.LastConfirmed("s")) < 1200*time.Millisecond, "%v", n.now.Sub(g.LastConfirmed("s")))
 	}
 }
 
-// A VM's link loses everything for a while. A beat or two that are lost are no
-// death, and what nobody has heard for long is.
-func TestBeatsMayBeLost(t *testing.T) {
+// All datagrams are lost for a while. A few lost heartbeats must not make a VM
+// unreachable, a long silence must, and the VMs must recover afterwards.
+func TestLostHeartbeats(t *testing.T) {
 	n := newNetwork()
-	all := fleet(n, 3, 5)
+	all := newFleet(n, 3, 5)
 	n.run(4 * time.Second)
-	n.lose = true
+	n.dropAll = true
 	n.run(time.Second)
-	n.lose = false
+	n.dropAll = false
 	assert.Equal(t, len(all[0].ReachableMembers()), 14)
-	n.lose = true
+	n.dropAll = true
 	n.run(6 * time.Second)
 	assert.Equal(t, len(all[0].ReachableMembers()), 0)
-	n.lose = false
+	n.dropAll = false
 	n.run(5 * time.Second)
 	assert.Equal(t, len(all[0].ReachableMembers()), 14)
 }
 
-// All processes of a fleet end, and those that start again know nobody, as the
-// platform's store is down. Whoever still knows their addresses tells them.
-func TestProcessThatKnowsNobodyIsTold(t *testing.T) {
+// A process restarts and knows no other VM, because the platform's store is down. VMs that
+// still know its address must send it the others.
+func TestRestartedProcessLearnsItsPeers(t *testing.T) {
 	n := newNetwork()
-	fleet(n, 2, 4)
+	newFleet(n, 2, 4)
 	n.run(4 * time.Second)
 	n.zone = ""
-	again := n.add(3, 2, nil)
+	restarted := n.start(3, 2, nil)
 	n.run(4 * time.Second)
-	assert.Equal(t, len(again.ReachableMembers()), 7)
+	assert.Equal(t, len(restarted.ReachableMembers()), 7)
 }
--- a/entry/process/gossiper/known.go
+++ b/entry/process/gossiper/known.go
@@ -8,116 +8,119 @@
 	"github.com/heathervane/heathervane/entry/process/allocator"
 )
 
-// ReachableMembers are the other VMs that can be heard.
+// ReachableMembers returns the other VMs from which heartbeats arrive.
 func (g *Gossiper) ReachableMembers() []allocator.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if g.members != nil && now.Sub(g.membersAt) < HeartbeatInterval {
-		return g.members
+	if g.reachable != nil && now.Sub(g.reachableAt) < HeartbeatInterval {
+		return g.reachable
 	}
-	members := make([]allocator.Member, 0, len(g.peers))
+	reachable := make([]allocator.Member, 0, len(g.peers))
 	for _, p := range g.peers {
-		if now.Sub(p.heard) <= g.quietFor(p, now) {
-			members = append(members, p.Member)
+		if now.Sub(p.heardAt) <= g.allowedSilence(p, now) {
+			reachable = append(reachable, p.Member)
 		}
 	}
-	g.members, g.membersAt = members, now
-	return members
+	g.reachable, g.reachableAt = reachable, now
+	return reachable
 }
 
-// LiveVMs are the names of the LiveVMs that live, this one included, in order.
+// LiveVMs returns the sorted names of the VMs that are not gone, including this one.
+// During startupPeriod it includes all known VMs, and placeholders up to minAssumedVMs.
 func (g *Gossiper) LiveVMs() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if now.Sub(g.vmsAt) < HeartbeatInterval && g.vms != nil {
-		return g.vms
+	if now.Sub(g.liveVMsAt) < HeartbeatInterval && g.liveVMs != nil {
+		return g.liveVMs
 	}
-	settles := now.Sub(g.began) < settling
-	vms := []string{g.me.VM}
+	starting := now.Sub(g.startedAt) < startupPeriod
+	vms := []string{g.self.VM}
 	for _, p := range g.peers {
-		if settles || now.Sub(p.heard) <= goneAfter+g.quietFor(p, now)-silent {
+		if starting || now.Sub(p.heardAt) <= goneAfter+g.allowedSilence(p, now)-unreachableAfter {
 			vms = append(vms, p.VM)
 		}
 	}
-	for i := len(vms); settles && i < assumed; i++ {
+	for i := len(vms); starting && i < minAssumedVMs; i++ {
 		vms = append(vms, "\xffassumed"+string(rune('a'+i)))
 	}
 	slices.Sort(vms)
-	g.vms, g.vmsAt = slices.Compact(vms), now
-	return g.vms
+	g.liveVMs, g.liveVMsAt = slices.Compact(vms), now
+	return g.liveVMs
 }
 
-// FleetSize is how many VMs there may be, this one included: those that were heard a
-// while ago may be cut off, and go on sending to upstreams.
+// FleetSize returns how many VMs there may be, including this one. It counts VMs that have
+// been silent for a while, because they may only be unreachable and still send to
+// upstreams.
 func (g *Gossiper) FleetSize() int {
-	assumed := len(g.LiveVMs())
+	live := len(g.LiveVMs())
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	known := 1
 	for _, p := range g.peers {
-		if !p.heard.IsZero() && !p.ended && now.Sub(p.heard) <= forgotten {
+		if !p.heardAt.IsZero() && !p.exited && now.Sub(p.heardAt) <= forgetAfter {
 			known++
 		}
 	}
-	return max(assumed, known)
+	return max(live, known)
 }
 
-// An StreamPosition is how far a stream of records has been read, when the platform
-// confirmed it to this VM itself, zero where it never did, and whether the last
-// reading failed. What others confirmed is not told on: with each VM that it
-// passed it would seem younger by the time on its way, and VMs that all hear
-// nothing would keep one another sure.
+// A StreamPosition is how far this VM has read a stream of records.
 type StreamPosition struct {
-	Offset      int64
+	Offset int64
+	// ConfirmedAt is when the platform last confirmed the offset to this VM itself, or
+	// zero if it never did. Confirmations received by other VMs are not forwarded: each
+	// hop would make them look younger by its transit time, and VMs that all receive
+	// nothing from the platform would keep assuring one another that they are current.
 	ConfirmedAt time.Time
-	Failing     bool
+	// Failing reports whether the last read failed.
+	Failing bool
 }
 
-// ConfirmedAt is when the platform last confirmed, to a VM that can be heard, that
-// a stream went no further than an offset.
-func (g *Gossiper) ConfirmedAt(stream string, offset int64) (asOf time.Time) {
-	g.readings(stream, func(_ *peer, r reading) {
-		if r.end <= offset {
-			asOf = latest(asOf, r.asOf)
+// ConfirmedAt returns when the platform last confirmed to a reachable peer that a stream
+// did not extend beyond an offset.
+func (g *Gossiper) ConfirmedAt(stream string, offset int64) (at time.Time) {
+	g.forEachPosition(stream, func(_ *peer, position peerPosition) {
+		if position.offset <= offset {
+			at = later(at, position.confirmedAt)
 		}
 	})
-	return asOf
+	return at
 }
 
-// LastConfirmed is when the platform last confirmed any offset of a stream to a VM that
-// can be heard.
+// LastConfirmed returns when the platform last confirmed any offset of a stream to a
+// reachable peer.
 func (g *Gossiper) LastConfirmed(stream string) (at time.Time) {
-	g.readings(stream, func(_ *peer, r reading) { at = latest(at, r.asOf) })
+	g.forEachPosition(stream, func(_ *peer, position peerPosition) { at = later(at, position.confirmedAt) })
 	return at
 }
 
-// MostAdvancedPeer is the VM that has read most of a stream beyond an offset, among those
-// that can be heard; one of this zone where there is any, as bytes between zones
-// are dear.
-func (g *Gossiper) MostAdvancedPeer(stream string, than int64) (at netip.AddrPort, ok bool) {
+// MostAdvancedPeer returns the reachable peer that has read a stream furthest beyond an
+// offset. It prefers any such peer of this zone, because traffic between zones is
+// expensive.
+func (g *Gossiper) MostAdvancedPeer(stream string, offset int64) (peerAddress netip.AddrPort, ok bool) {
 	var best int64
-	near := false
-	g.readings(stream, func(p *peer, r reading) {
-		here := p.Zone == g.me.Zone
-		if r.end <= than || (near && !here) || (near == here && r.end <= best) {
+	bestIsLocal := false
+	g.forEachPosition(stream, func(p *peer, position peerPosition) {
+		isLocal := p.Zone == g.self.Zone
+		if position.offset <= offset || (bestIsLocal && !isLocal) || (bestIsLocal == isLocal && position.offset <= best) {
 			return
 		}
-		at, ok, best, near = p.Address, true, r.end, here
+		peerAddress, ok, best, bestIsLocal = p.Address, true, position.offset, isLocal
 	})
-	return at, ok
+	return peerAddress, ok
 }
 
-// readings gives the readings of a stream by VMs that can be heard.
-func (g *Gossiper) readings(stream string, give func(*peer, reading)) {
+// forEachPosition calls visit for each reachable peer that has read a stream.
+func (g *Gossiper) forEachPosition(stream string, visit func(*peer, peerPosition)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	for _, p := range g.peers {
-		if r, ok := p.streams[stream]; ok && now.Sub(p.heard) <= g.quietFor(p, now) {
-			give(p, r)
+		if position, ok := p.positions[stream]; ok && now.Sub(p.heardAt) <= g.allowedSilence(p, now) {
+			visit(p, position)
 		}
 	}
 }
--- a/entry/process/gossiper/message.go
+++ b/entry/process/gossiper/message.go
@@ -9,57 +9,60 @@
 	"github.com/heathervane/heathervane/entry/process/allocator"
 )
 
-// message is one datagram: what a VM says of itself and, from one that relays,
-// what it has heard of others.
+// message is the content of one datagram: the sender's own state and, from a relay, what
+// it knows of other VMs.
 type message struct {
 	VM   string `cbor:"1,keyasint"`
 	Boot int64  `cbor:"2,keyasint"`
 	Seq  uint64 `cbor:"3,keyasint"`
 	Zone string `cbor:"4,keyasint"`
-	// Power is the part of a core that its machine gives it.
+	// Power is the share of CPU cores that the host gives the sender.
 	Power float32 `cbor:"5,keyasint,omitempty"`
-	// Leaving says that the sender is about to stop, Bye that it ends.
+	// Leaving is set when the sender is about to stop, and Exiting when its process exits.
 	Leaving bool `cbor:"6,keyasint,omitempty"`
-	Bye     bool `cbor:"7,keyasint,omitempty"`
-	// Streams are how far it has read.
+	Exiting bool `cbor:"7,keyasint,omitempty"`
+	// Streams holds the sender's own read positions.
 	Streams []wireStream `cbor:"8,keyasint,omitempty"`
-	// Far is the freshest reading of each stream that it has heard of directly
-	// from another zone.
-	Far []wireFar `cbor:"9,keyasint,omitempty"`
-	// Refused are the digests of VMs of the sender's zone that the platform does
-	// not let read.
+	// RemotePositions holds, for each stream, the most recently confirmed position that
+	// the sender received directly from a VM of another zone.
+	RemotePositions []wireRemotePosition `cbor:"9,keyasint,omitempty"`
+	// Refused holds the digests of the VMs of the sender's zone whose reads the platform
+	// refuses.
 	Refused []uint32 `cbor:"12,keyasint,omitempty"`
-	// Reply says that this answers a VM that has just started.
+	// Reply is set when the message answers a VM that has just started.
 	Reply bool `cbor:"13,keyasint,omitempty"`
-	// Alive is how long ago VMs were heard, as digests and ages one after the
-	// other; Peers are some of them in full.
-	Alive []byte     `cbor:"10,keyasint,omitempty"`
-	Peers []wirePeer `cbor:"11,keyasint,omitempty"`
-	// Shared is a part of what all VMs know together, in its own encoding.
+	// PeerAges holds the time since the last heartbeat of each VM, as a sequence of
+	// digests each followed by an age. Peers holds some of these VMs in full.
+	PeerAges []byte     `cbor:"10,keyasint,omitempty"`
+	Peers    []wirePeer `cbor:"11,keyasint,omitempty"`
+	// Shared is a part of the shared state, in that state's own encoding.
 	Shared []byte `cbor:"14,keyasint,omitempty"`
 }
 
+// wireStream is the encoding of a StreamPosition.
 type wireStream struct {
-	_    struct{} `cbor:",toarray"`
-	Name string
-	End  int64
-	// Age is how long ago the platform confirmed the end to this VM itself, in
-	// milliseconds; -1 where it never did.
-	Age     int64
-	Failing bool
+	_      struct{} `cbor:",toarray"`
+	Name   string
+	Offset int64
+	// AgeMillis is how many milliseconds ago the platform confirmed the offset to the
+	// sender itself, or unconfirmed if it never did.
+	AgeMillis int64
+	Failing   bool
 }
 
-// unconfirmed is the age of an end that the platform has not confirmed.
+// unconfirmed is the age of an offset that the platform has not confirmed.
 const unconfirmed = -1
 
-type wireFar struct {
-	_       struct{} `cbor:",toarray"`
-	Address string
-	Name    string
-	End     int64
-	Age     int64
+// wireRemotePosition is how far the VM at an address has read a stream.
+type wireRemotePosition struct {
+	_         struct{} `cbor:",toarray"`
+	Address   string
+	Name      string
+	Offset    int64
+	AgeMillis int64
 }
 
+// wirePeer is the encoding of a peer in full.
 type wirePeer struct {
 	_           struct{} `cbor:",toarray"`
 	VM, Address string
@@ -73,13 +76,16 @@
 	return allocator.Member{VM: w.VM, Address: address, Zone: w.Zone, Cores: float64(w.Power)}, err == nil
 }
 
-// ageUnit is that of the ages of VMs, of which one byte holds the most.
 const (
-	ageUnit    = 100 * time.Millisecond
-	mostAge    = 255
-	digestSize = 4
-	aliveSize  = digestSize + 1
+	// ageUnit is the unit of the ages in PeerAges, and maxAge the largest one, which must
+	// fit a byte.
+	ageUnit = 100 * time.Millisecond
+	maxAge  = 255
+	// digestSize and peerAgeSize are the sizes in bytes of a digest and of a digest with
+	// its age.
+	digestSize  = 4
+	peerAgeSize = digestSize + 1
 )
 
-// digest stands for a VM's name.
+// digest returns a 32-bit hash of a VM's name.
 func digest(vm string) uint32 { return uint32(xxhash.Sum64String(vm)) }
--- a/entry/process/gossiper/receive.go
+++ b/entry/process/gossiper/receive.go
@@ -13,113 +13,113 @@
 type peer struct {
 	allocator.Member
 	boot int64
-	// heard is when it last lived, as far as is known, and direct when it last
-	// spoke to this VM itself.
-	heard, direct time.Time
-	known         time.Time
-	// ended says that it has said so.
-	ended bool
-	tried time.Time
-	// changed is when something became known of it that others may not know.
-	changed time.Time
-	seq     uint64
-	streams map[string]reading
-	// refused is when it was last heard of that the platform does not let it read.
-	refused time.Time
+	// heardAt is when the VM was last known to be alive, directly or through a relay, and
+	// directAt when a message last arrived from the VM itself.
+	heardAt, directAt time.Time
+	knownSince        time.Time
+	// exited reports whether the VM announced its exit.
+	exited     bool
+	lastSentAt time.Time
+	// changedAt is when this VM learned something about the peer that others may not know.
+	changedAt time.Time
+	seq       uint64
+	positions map[string]peerPosition
+	// refusedAt is when this VM last learned that the platform refuses the peer's reads.
+	refusedAt time.Time
 }
 
-// A reading is how far a VM has read a stream.
-type reading struct {
-	end int64
-	// asOf is when the platform confirmed the end to it, by this VM's clock.
-	asOf time.Time
+// A peerPosition is how far a peer has read a stream.
+type peerPosition struct {
+	offset int64
+	// confirmedAt is when the platform confirmed the offset to the peer, by this VM's clock.
+	confirmedAt time.Time
 }
 
-// read notes how far the VM has read a stream, and says whether that is further
-// than before.
-func (p *peer) read(now time.Time, w wireStream) (further bool) {
-	r := p.streams[w.Name]
-	further = w.End > r.end
-	if w.End >= r.end {
-		r.end = w.End
-		if at := now.Add(-time.Duration(w.Age) * time.Millisecond); w.Age != unconfirmed && at.After(r.asOf) {
-			r.asOf = at
+// updatePosition records how far the peer has read a stream and reports whether that is
+// further than before.
+func (p *peer) updatePosition(now time.Time, w wireStream) (advanced bool) {
+	position := p.positions[w.Name]
+	advanced = w.Offset > position.offset
+	if w.Offset >= position.offset {
+		position.offset = w.Offset
+		if at := now.Add(-time.Duration(w.AgeMillis) * time.Millisecond); w.AgeMillis != unconfirmed && at.After(position.confirmedAt) {
+			position.confirmedAt = at
 		}
 	}
-	p.streams[w.Name] = r
-	return further
+	p.positions[w.Name] = position
+	return advanced
 }
 
-// Receive takes a datagram in.
+// Receive processes a datagram.
 func (g *Gossiper) Receive(from netip.AddrPort, data []byte) {
 	var m message
 	if err := cbor.Unmarshal(data, &m); err != nil || m.VM == "" {
-		g.log.Debug().Str("peer", from.String()).Err(err).Msg("datagram not understood")
+		g.log.Debug().Str("peer", from.String()).Err(err).Msg("invalid gossip datagram")
 		return
 	}
-	found, further := g.take(from, &m)
-	g.heed(m.Shared)
-	if found && !m.Reply && !m.Bye {
+	newRun, advanced := g.applyMessage(from, &m)
+	g.mergeShared(m.Shared)
+	if newRun && !m.Reply && !m.Exiting {
 		g.reply(from)
-		g.tellAll(from)
+		g.sendSharedState(from)
 	}
-	if further && g.ahead != nil {
-		g.ahead()
+	if advanced && g.onPeerAhead != nil {
+		g.onPeerAhead()
 	}
 }
 
-// take folds a message. It says whether it is the first of a run of its sender,
-// and whether that has read on.
-func (g *Gossiper) take(from netip.AddrPort, m *message) (found, further bool) {
+// applyMessage updates the peers from a message. It reports whether the message is the
+// first one of a run of its sender, and whether the sender has read further than before.
+func (g *Gossiper) applyMessage(from netip.AddrPort, m *message) (newRun, advanced bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p := g.meet(allocator.Member{VM: m.VM, Address: from, Zone: m.Zone, Cores: float64(m.Power)})
+	p := g.findOrAddPeer(allocator.Member{VM: m.VM, Address: from, Zone: m.Zone, Cores: float64(m.Power)})
 	if p == nil || m.Boot < p.boot {
 		return false, false
 	}
 	now := g.now()
 	if m.Boot != p.boot {
-		g.log.Info().Str("peer", m.VM).Str("address", from.String()).Int64("boot", m.Boot).Msg("peer found")
-		found = true
-		p.boot, p.seq, p.changed, g.members = m.Boot, 0, now, nil
-		clear(p.streams)
-	} else if now.Sub(p.heard) > g.quietFor(p, now) {
-		g.log.Info().Str("peer", m.VM).Dur("silent", now.Sub(p.heard)).Msg("peer heard again")
-		p.changed, g.members = now, nil
+		g.log.Info().Str("peer", m.VM).Str("address", from.String()).Int64("boot", m.Boot).Msg("peer process discovered")
+		newRun = true
+		p.boot, p.seq, p.changedAt, g.reachable = m.Boot, 0, now, nil
+		clear(p.positions)
+	} else if now.Sub(p.heardAt) > g.allowedSilence(p, now) {
+		g.log.Info().Str("peer", m.VM).Dur("silent", now.Sub(p.heardAt)).Msg("peer reachable again")
+		p.changedAt, g.reachable = now, nil
 	}
-	p.heard, p.direct, p.ended = now, now, m.Bye
-	if m.Bye {
-		p.heard, p.direct = now.Add(-goneAfter-2*relayDelay), time.Time{}
-		p.known, g.members = p.heard, nil
-		g.log.Info().Str("peer", m.VM).Msg("peer leaves")
-		return found, false
+	p.heardAt, p.directAt, p.exited = now, now, m.Exiting
+	if m.Exiting {
+		p.heardAt, p.directAt = now.Add(-goneAfter-2*relayDelay), time.Time{}
+		p.knownSince, g.reachable = p.heardAt, nil
+		g.log.Info().Str("peer", m.VM).Msg("peer exited")
+		return newRun, false
 	}
 	if m.Seq <= p.seq {
-		return found, false
+		return newRun, false
 	}
 	p.seq = m.Seq
 	if p.Leaving != m.Leaving {
-		p.Leaving, p.changed, g.members = m.Leaving, now, nil
+		p.Leaving, p.changedAt, g.reachable = m.Leaving, now, nil
 	}
 	p.Zone, p.Cores = m.Zone, float64(m.Power)
-	p.refused = time.Time{}
+	p.refusedAt = time.Time{}
 	for _, w := range m.Streams {
-		further = p.read(now, w) || further
+		advanced = p.updatePosition(now, w) || advanced
 		if w.Failing {
-			p.refused = now
+			p.refusedAt = now
 		}
 	}
 	for _, d := range m.Refused {
-		if o, ok := g.named[d]; ok {
-			o.refused = now
+		if o, ok := g.peersByDigest[d]; ok {
+			o.refusedAt = now
 		}
 	}
 	for i := range m.Peers {
 		if o, ok := m.Peers[i].member(); ok {
-			g.meet(o)
+			g.findOrAddPeer(o)
 		}
 	}
-	g.heedAlive(now, m.Alive)
-	g.heedFar(now, m.Far)
-	return found, further
+	g.applyPeerAges(now, m.PeerAges)
+	g.applyRemotePositions(now, m.RemotePositions)
+	return newRun, advanced
 }
--- a/entry/process/gossiper/relay.go
+++ b/entry/process/gossiper/relay.go
@@ -9,132 +9,135 @@
 	"github.com/heathervane/heathervane/entry/process/allocator"
 )
 
-// first are the VMs that relay for each zone: the first of those that live.
-func (g *Gossiper) first(now time.Time) map[string][]allocator.Member {
-	found := map[string][]allocator.Member{g.me.Zone: {g.me}}
+// relaysByZone returns the relays of each zone: its highest-ranked live VMs.
+func (g *Gossiper) relaysByZone(now time.Time) map[string][]allocator.Member {
+	relays := map[string][]allocator.Member{g.self.Zone: {g.self}}
 	for _, p := range g.peers {
-		if !p.Leaving && g.lives(now, p) {
-			found[p.Zone] = rank(found[p.Zone], p.Member)
+		if !p.Leaving && g.isLive(now, p) {
+			relays[p.Zone] = insertRanked(relays[p.Zone], p.Member)
 		}
 	}
-	return found
+	return relays
 }
 
-// lives says that a VM lives, as far as is known. One that is known by name only
-// is given the time of one that has just been heard.
-func (g *Gossiper) lives(now time.Time, p *peer) bool {
-	return now.Sub(latest(p.heard, p.known)) <= g.quietFor(p, now)
+// isLive reports whether a VM is live as far as is known. A VM that is known only by name
+// counts as heard from at the time when it became known.
+func (g *Gossiper) isLive(now time.Time, p *peer) bool {
+	return now.Sub(later(p.heardAt, p.knownSince)) <= g.allowedSilence(p, now)
 }
 
-// A ReadRole is what a VM does about the platform's records.
+// A ReadRole is a VM's role in reading the platform's records.
 type ReadRole int
 
 const (
-	// Follower is to take them from the VMs that read.
+	// Follower fetches the records from VMs that read the platform.
 	Follower ReadRole = iota
-	// Standby is to read where those have nothing fresh.
+	// Standby reads the platform itself if the reader has no recent records.
 	Standby
-	// Reader is to read for the zone.
+	// Reader reads the platform for its zone.
 	Reader
 )
 
-// standBy is how many VMs of a zone read where the one that should has nothing
-// fresh. Were all to try that the platform refuses, or that is down, each of the
-// tries would be one more call that it has to refuse.
-const standBy = 3
+// maxReadCandidates is how many VMs of a zone may read the platform if its reader has no
+// recent records. If all VMs tried while the platform refuses them or is down, each
+// attempt would be another call that it has to refuse.
+const maxReadCandidates = 3
 
-// ReadRole is this VM's: the first of its zone reads that lives and that the platform
-// serves, in the order in which VMs lead. Where it serves none of them, one after
-// the other tries.
+// ReadRole returns this VM's role. The reader of a zone is its highest-ranked live VM
+// whose reads the platform does not refuse, in the order that also determines leaders. If
+// the platform refuses all of them, they take turns in trying.
 func (g *Gossiper) ReadRole() ReadRole {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	before, served := 0, 0
+	higherRanked, served := 0, 0
 	for _, p := range g.peers {
-		if p.Zone != g.me.Zone || p.Leaving || !g.lives(now, p) || !p.Outranks(&g.me, allocator.Group{Zone: g.me.Zone}) {
+		if p.Zone != g.self.Zone || p.Leaving || !g.isLive(now, p) || !p.Outranks(&g.self, allocator.Group{Zone: g.self.Zone}) {
 			continue
 		}
-		before++
-		if now.Sub(p.refused) > refusedFor {
+		higherRanked++
+		if now.Sub(p.refusedAt) > refusalLifetime {
 			served++
 		}
 	}
 	switch {
-	case served == 0 && (before < standBy || !g.refusedLately(now)):
+	case served == 0 && (higherRanked < maxReadCandidates || !g.refusedRecently(now)):
 		return Reader
-	case before < standBy:
+	case higherRanked < maxReadCandidates:
 		return Standby
 	}
 	return Follower
 }
 
-// ShouldReadAtStart says that no VM of this zone that has been heard, and that the platform
-// serves, reads rather than this one. It is for a process that knows nothing yet:
-// those that it knows by name only may all be starting as well, or be gone.
+// ShouldReadAtStart reports whether no reachable VM of this zone that the platform does
+// not refuse outranks this one as reader. It is meant for a process that has no records
+// yet: VMs that it knows only by name may all be starting as well, or be gone.
 func (g *Gossiper) ShouldReadAtStart() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	for _, p := range g.peers {
-		heard := !p.heard.IsZero() && now.Sub(p.heard) <= g.quietFor(p, now)
-		if heard && p.Zone == g.me.Zone && !p.Leaving && now.Sub(p.refused) > refusedFor && p.Outranks(&g.me, allocator.Group{Zone: g.me.Zone}) {
+		reachable := !p.heardAt.IsZero() && now.Sub(p.heardAt) <= g.allowedSilence(p, now)
+		if reachable && p.Zone == g.self.Zone && !p.Leaving && now.Sub(p.refusedAt) > refusalLifetime && p.Outranks(&g.self, allocator.Group{Zone: g.self.Zone}) {
 			return false
 		}
 	}
 	return true
 }
 
-// refusedFor is how long a VM counts as refused after the last word that it is.
-const refusedFor = time.Second
+// refusalLifetime is how long a VM counts as refused after the last report of it.
+const refusalLifetime = time.Second
 
-// refusedLately says that the platform has refused this VM.
-func (g *Gossiper) refusedLately(now time.Time) bool {
-	return now.Sub(g.refusedAt) <= refusedAgain
+// refusedRecently reports whether the platform has refused this VM within refusalBackoff.
+func (g *Gossiper) refusedRecently(now time.Time) bool {
+	return now.Sub(g.lastRefusedAt) <= refusalBackoff
 }
 
-// refusedAgain is how long a VM that was refused leaves it to others to try.
-const refusedAgain = 5 * time.Second
+// refusalBackoff is how long a VM that was refused leaves further attempts to others.
+const refusalBackoff = 5 * time.Second
 
-// refused are the digests of the VMs of this zone that are refused.
-func (g *Gossiper) refused(now time.Time) []uint32 {
-	var found []uint32
+// refusedDigests returns the digests of the VMs of this zone whose reads the platform
+// refuses.
+func (g *Gossiper) refusedDigests(now time.Time) []uint32 {
+	var digests []uint32
 	for _, p := range g.peers {
-		if p.Zone == g.me.Zone && now.Sub(p.refused) <= refusedFor && now.Sub(p.direct) <= silent {
-			found = append(found, digest(p.VM))
+		if p.Zone == g.self.Zone && now.Sub(p.refusedAt) <= refusalLifetime && now.Sub(p.directAt) <= unreachableAfter {
+			digests = append(digests, digest(p.VM))
 		}
 	}
-	return found
+	return digests
 }
 
-// rank puts a VM among the first of its zone, where it belongs there.
-func rank(first []allocator.Member, m allocator.Member) []allocator.Member {
-	at := len(first)
-	for at > 0 && m.Outranks(&first[at-1], allocator.Group{Zone: m.Zone}) {
+// insertRanked inserts a VM into the ranked relays of its zone and keeps the first
+// relaysPerZone.
+func insertRanked(relays []allocator.Member, m allocator.Member) []allocator.Member {
+	at := len(relays)
+	for at > 0 && m.Outranks(&relays[at-1], allocator.Group{Zone: m.Zone}) {
 		at--
 	}
-	first = slices.Insert(first, at, m)
-	return first[:min(len(first), relays)]
+	relays = slices.Insert(relays, at, m)
+	return relays[:min(len(relays), relaysPerZone)]
 }
 
-// quietFor is for how long a VM that lives may be silent. One that does not speak
-// to this VM itself is heard of later.
-func (g *Gossiper) quietFor(p *peer, now time.Time) time.Duration {
+// allowedSilence returns how long a live VM may be silent. It is longer for a VM that does
+// not send to this one directly, because its heartbeats arrive through relays.
+func (g *Gossiper) allowedSilence(p *peer, now time.Time) time.Duration {
 	switch {
-	case now.Sub(p.direct) <= 2*silent:
-		return silent
-	case p.Zone == g.me.Zone:
-		return silent + relayDelay
+	case now.Sub(p.directAt) <= 2*unreachableAfter:
+		return unreachableAfter
+	case p.Zone == g.self.Zone:
+		return unreachableAfter + relayDelay
 	}
-	return silent + 2*relayDelay
+	return unreachableAfter + 2*relayDelay
 }
 
-// alive is how long ago VMs of a zone were heard, of all zones where it is empty.
-func (g *Gossiper) alive(now time.Time, zone string) []byte {
+// encodePeerAges encodes the time since the last heartbeat of each VM of a zone, or of all
+// zones if zone is empty.
+func (g *Gossiper) encodePeerAges(now time.Time, zone string) []byte {
 	var data []byte
 	for _, p := range g.peers {
-		age := now.Sub(p.heard) / ageUnit
-		if p.VM == "" || age > mostAge || (zone != "" && p.Zone != zone) {
+		age := now.Sub(p.heardAt) / ageUnit
+		if p.VM == "" || age > maxAge || (zone != "" && p.Zone != zone) {
 			continue
 		}
 		data = append(binary.BigEndian.AppendUint32(data, digest(p.VM)), byte(age))
@@ -142,90 +145,94 @@
 	return data
 }
 
-// heedAlive takes in what a relay has heard of VMs.
-func (g *Gossiper) heedAlive(now time.Time, data []byte) {
-	for ; len(data) >= aliveSize; data = data[aliveSize:] {
-		p, ok := g.named[binary.BigEndian.Uint32(data)]
+// applyPeerAges updates the peers from the ages that a relay sent.
+func (g *Gossiper) applyPeerAges(now time.Time, data []byte) {
+	for ; len(data) >= peerAgeSize; data = data[peerAgeSize:] {
+		p, ok := g.peersByDigest[binary.BigEndian.Uint32(data)]
 		if !ok {
 			continue
 		}
-		if at := now.Add(-time.Duration(data[digestSize]) * ageUnit); at.After(p.heard) {
-			p.heard = at
+		if at := now.Add(-time.Duration(data[digestSize]) * ageUnit); at.After(p.heardAt) {
+			p.heardAt = at
 		}
 	}
 }
 
 const (
-	// someNew and someOld are how many VMs a relay tells of in full at a time, and
-	// fresh how long a VM counts as new.
-	someNew = 8
-	someOld = 4
-	fresh   = 4 * time.Second
+	// maxChangedPeers is how many recently changed VMs a relay sends in full at a time,
+	// and maxOtherPeers how many VMs it sends in turn besides.
+	maxChangedPeers = 8
+	maxOtherPeers   = 4
+	// changedPeriod is how long a VM counts as recently changed.
+	changedPeriod = 4 * time.Second
 )
 
-// some are VMs that others may not know yet, and some of the rest in turn.
-func (g *Gossiper) some(now time.Time) []wirePeer {
-	var found []wirePeer
-	all := g.sorted()
-	for _, at := range all {
-		if p := g.peers[at]; len(found) < someNew && !p.heard.IsZero() && now.Sub(p.changed) <= fresh {
-			found = append(found, p.wire())
+// describePeers returns VMs that changed recently, so that others may not know them, and
+// some of all VMs in turn.
+func (g *Gossiper) describePeers(now time.Time) []wirePeer {
+	var described []wirePeer
+	addresses := g.sortedAddresses()
+	for _, at := range addresses {
+		if p := g.peers[at]; len(described) < maxChangedPeers && !p.heardAt.IsZero() && now.Sub(p.changedAt) <= changedPeriod {
+			described = append(described, p.encode())
 		}
 	}
 	start := 0
-	for start < len(all) && all[start].Compare(g.rolled) <= 0 {
+	for start < len(addresses) && addresses[start].Compare(g.lastDescribed) <= 0 {
 		start++
 	}
-	for i := range min(someOld, len(all)) {
-		at := all[(start+i)%len(all)]
-		g.rolled = at
-		if p := g.peers[at]; !p.heard.IsZero() {
-			found = append(found, p.wire())
+	for i := range min(maxOtherPeers, len(addresses)) {
+		at := addresses[(start+i)%len(addresses)]
+		g.lastDescribed = at
+		if p := g.peers[at]; !p.heardAt.IsZero() {
+			described = append(described, p.encode())
 		}
 	}
-	return found
+	return described
 }
 
-func (p *peer) wire() wirePeer {
+func (p *peer) encode() wirePeer {
 	return wirePeer{VM: p.VM, Address: p.Address.String(), Zone: p.Zone, Power: float32(p.Cores), Leaving: p.Leaving}
 }
 
-// farReadings are the freshest readings of each stream that this VM has heard of
-// from another zone itself. What others have heard is not told on: with each VM
-// that it passed it would seem younger by the time on its way, and VMs that all
-// hear nothing would keep one another sure.
-func (g *Gossiper) farReadings(now time.Time) []wireFar {
-	best := make(map[string]wireFar)
+// remotePositions returns, for each stream, the most recently confirmed position that this
+// VM received directly from a VM of another zone. It does not forward positions that
+// others received: each hop would make them look younger by its transit time, and VMs that
+// all receive nothing from the platform would keep assuring one another that they are
+// current.
+func (g *Gossiper) remotePositions(now time.Time) []wireRemotePosition {
+	freshest := make(map[string]wireRemotePosition)
 	for _, p := range g.peers {
-		if p.Zone == g.me.Zone || now.Sub(p.direct) > silent {
+		if p.Zone == g.self.Zone || now.Sub(p.directAt) > unreachableAfter {
 			continue
 		}
-		for name, r := range p.streams {
-			if r.asOf.IsZero() {
+		for name, position := range p.positions {
+			if position.confirmedAt.IsZero() {
 				continue
 			}
-			age := now.Sub(r.asOf).Milliseconds()
-			if b, ok := best[name]; !ok || age < b.Age {
-				best[name] = wireFar{Address: p.Address.String(), Name: name, End: r.end, Age: age}
+			age := now.Sub(position.confirmedAt).Milliseconds()
+			if b, ok := freshest[name]; !ok || age < b.AgeMillis {
+				freshest[name] = wireRemotePosition{Address: p.Address.String(), Name: name, Offset: position.offset, AgeMillis: age}
 			}
 		}
 	}
-	var found []wireFar
-	for _, w := range best {
-		found = append(found, w)
+	var positions []wireRemotePosition
+	for _, w := range freshest {
+		positions = append(positions, w)
 	}
-	return found
+	return positions
 }
 
-// heedFar takes in what a relay has heard from another zone.
-func (g *Gossiper) heedFar(now time.Time, all []wireFar) {
-	for _, w := range all {
+// applyRemotePositions updates the peers of other zones from the positions that a relay
+// sent.
+func (g *Gossiper) applyRemotePositions(now time.Time, positions []wireRemotePosition) {
+	for _, w := range positions {
 		address, err := netip.ParseAddrPort(w.Address)
 		if err != nil {
 			continue
 		}
 		if p, ok := g.peers[address]; ok {
-			p.read(now, wireStream{Name: w.Name, End: w.End, Age: w.Age})
+			p.updatePosition(now, wireStream{Name: w.Name, Offset: w.Offset, AgeMillis: w.AgeMillis})
 		}
 	}
 }
--- a/entry/process/gossiper/share.go
+++ b/entry/process/gossiper/share.go
@@ -7,68 +7,70 @@
 	"github.com/heathervane/heathervane/entry/process/allocator"
 )
 
-// SetSharedState has this VM tell the others of something that all know together, and take
-// in what they tell. It is called once, before the Gossiper is used.
-func (g *Gossiper) SetSharedState(s SharedState, t Timer) { g.shared, g.timer = s, t }
+// SetSharedState sets the state to replicate and the timer for its broadcasts. It must be
+// called at most once, before the Gossiper is used.
+func (g *Gossiper) SetSharedState(shared SharedState, timer Timer) { g.shared, g.timer = shared, timer }
 
-// ScheduleBroadcast tells other VMs soon what changed of that. The next beats tell it again, as
-// datagrams get lost.
+// ScheduleBroadcast sends pending changes of the shared state to other VMs after
+// broadcastDelay. The next heartbeats repeat them, because datagrams may be lost.
 func (g *Gossiper) ScheduleBroadcast() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.soon == nil {
-		g.soon = g.timer.Subscribe(spreadAfter, g.spreadNow)
+	if g.stopBroadcast == nil {
+		g.stopBroadcast = g.timer.Subscribe(broadcastDelay, g.broadcastNow)
 	}
 }
 
-func (g *Gossiper) spreadNow(now time.Time) {
+func (g *Gossiper) broadcastNow(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.soon == nil {
+	if g.stopBroadcast == nil {
 		return
 	}
-	g.soon()
-	g.soon = nil
-	g.spread(now, g.first(now), false)
+	g.stopBroadcast()
+	g.stopBroadcast = nil
+	g.broadcast(now, g.relaysByZone(now), false)
 }
 
-// spread tells what changed, and with all now and then a part of the rest. What a relay
-// was told goes on, what any other VM was told came from one.
-func (g *Gossiper) spread(now time.Time, first map[string][]allocator.Member, all bool) {
+// broadcast sends pending changes of the shared state and, with withPart, also the next
+// part of the whole state if one is due. A relay forwards changes that it received; other
+// VMs send only their own, because what they received came from a relay.
+func (g *Gossiper) broadcast(now time.Time, relays map[string][]allocator.Member, withPart bool) {
 	if g.shared == nil {
 		return
 	}
-	relay := g.relays(first)
-	parts := g.shared.PendingChanges(!relay)
-	every := standingEvery
-	if relay {
-		every = rollEvery
+	isRelay := g.isRelay(relays)
+	parts := g.shared.PendingChanges(!isRelay)
+	interval := sharedPartInterval
+	if isRelay {
+		interval = rosterInterval
 	}
-	if all && now.Sub(g.partAt) >= every {
-		g.partAt = now
+	if withPart && now.Sub(g.lastPartAt) >= interval {
+		g.lastPartAt = now
 		parts = append(parts, g.shared.NextPart()...)
 	}
 	for _, part := range parts {
-		m := g.share(part)
-		if !relay {
-			g.send(now, m, g.toRelays(first))
+		m := g.newSharedMessage(part)
+		if !isRelay {
+			g.send(now, m, g.toLocalRelays(relays))
 			continue
 		}
-		g.send(now, m, g.toZone)
-		g.send(now, m, g.toFar(first))
+		g.send(now, m, g.toLocalZone)
+		g.send(now, m, g.toRemoteRelays(relays))
 	}
 }
 
-// share is a message that only tells what is shared. It has no place in the order of
-// those that tell of this VM, so that none of them is dropped as older.
-func (g *Gossiper) share(part []byte) message {
-	m := g.message()
+// newSharedMessage returns a message with only a part of the shared state. Its sequence
+// number is 0: it is not ordered with the reports of this VM, so that none of these is
+// dropped as older.
+func (g *Gossiper) newSharedMessage(part []byte) message {
+	m := g.newMessage()
 	m.Seq, m.Shared = 0, part
 	return m
 }
 
-// tellAll tells a VM that has just started all that VMs share.
-func (g *Gossiper) tellAll(to netip.AddrPort) {
+// sendSharedState sends the whole shared state to a VM that has just started.
+func (g *Gossiper) sendSharedState(to netip.AddrPort) {
 	if g.shared == nil {
 		return
 	}
@@ -76,14 +78,15 @@
 	defer g.mu.Unlock()
 	now := g.now()
 	for _, part := range g.shared.All() {
-		m := g.share(part)
+		m := g.newSharedMessage(part)
 		m.Reply = true
 		g.send(now, m, func(p *peer) bool { return p.Address == to })
 	}
 }
 
-// heed takes in what a VM told of what is shared. A relay tells it on.
-func (g *Gossiper) heed(data []byte) {
+// mergeShared merges a part of the shared state. If it changed anything, it schedules a
+// broadcast, with which a relay forwards the change.
+func (g *Gossiper) mergeShared(data []byte) {
 	if g.shared != nil && len(data) > 0 && g.shared.Merge(data) {
 		g.ScheduleBroadcast()
 	}
