--- a/entry/process/joiner/budget.go
+++ b/entry/process/joiner/budget.go
@@ -7,54 +7,54 @@
 	"github.com/heathervane/heathervane/entry/process/budgeter"
 )
 
-// A budget bounds the repeats of each service over all VMs.
-type budget struct {
-	process *Process
-	mu      sync.Mutex
-	repeats map[string]*budgeter.RetryBudget
-	history *budgeter.MemberHistory
+// A retryBudget limits the retries of each service across all VMs.
+type retryBudget struct {
+	process   *Process
+	mu        sync.Mutex
+	byService map[string]*budgeter.RetryBudget
+	history   *budgeter.MemberHistory
 }
 
-func newBudget(v *Process) *budget {
+func newRetryBudget(v *Process) *retryBudget {
 	s := v.settings.Load()
-	began := time.Now()
+	startedAt := time.Now()
 	if s.FleetBootstrap {
-		began = time.Time{}
+		startedAt = time.Time{}
 	}
-	return &budget{
-		process: v, repeats: make(map[string]*budgeter.RetryBudget), history: budgeter.NewMemberHistory(s.Bounds.RetryWindow, began),
+	return &retryBudget{
+		process: v, byService: make(map[string]*budgeter.RetryBudget), history: budgeter.NewMemberHistory(s.Bounds.RetryWindow, startedAt),
 	}
 }
 
-func (b *budget) of(service string) *budgeter.RetryBudget {
+func (b *retryBudget) forService(service string) *budgeter.RetryBudget {
 	bounds := b.process.settings.Load().Bounds
-	r, ok := b.repeats[service]
+	r, ok := b.byService[service]
 	if !ok {
 		r = budgeter.NewRetryBudget(bounds.RetryRatio, bounds.RetrySlack, bounds.RetryWindow)
-		b.repeats[service] = r
+		b.byService[service] = r
 	}
 	r.Ratio, r.Slack = bounds.RetryRatio, bounds.RetrySlack
 	return r
 }
 
-// RecordRequest counts a request's first sending.
-func (b *budget) RecordRequest(service string) {
+// RecordRequest counts the first attempt of a request.
+func (b *retryBudget) RecordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).Sent(time.Now())
+	b.forService(service).Sent(time.Now())
 }
 
-// TakeRetry asks for a repeat.
-func (b *budget) TakeRetry(service string) bool {
+// TakeRetry takes a retry from the budget and reports whether there was one.
+func (b *retryBudget) TakeRetry(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	b.history.Record(now, b.process.gossiper.LiveVMs())
-	return b.of(service).TryRetry(now, b.process.settings.Load().VM, b.history)
+	return b.forService(service).TryRetry(now, b.process.settings.Load().VM, b.history)
 }
 
-// note has the budget know which VMs live, also while it is not asked for.
-func (b *budget) note(now time.Time) {
+// recordMembers records which VMs are live, also while no retries are requested.
+func (b *retryBudget) recordMembers(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.history.Record(now, b.process.gossiper.LiveVMs())
--- a/entry/process/joiner/fold.go
+++ b/entry/process/joiner/fold.go
@@ -14,113 +14,115 @@
 )
 
 const (
-	// configurationShare is the part of the time in which versions must be in force
-	// for which the platform holds a reading of the configuration. Where all that
-	// read for a zone have fallen silent, the others notice after as long.
-	configurationShare = 0.5
-	// configurationBehind is how long another VM may have a newer configuration
-	// before it is asked for it: the platform's own answer takes some
-	// milliseconds, and versions must be in force within two seconds.
-	configurationBehind = 200 * time.Millisecond
-	// upstreamsShare is the part of the time in which upstreams that leave must get
-	// nothing more after which the list of upstreams is read again, and
-	// mostUpstreams the longest such time: as the platform's silences must be told
-	// from it. Upstreams write to the list all the time, so that waiting there for
-	// news would return at every heartbeat.
-	upstreamsShare = 0.3
-	mostUpstreams  = 900 * time.Millisecond
-	// vmsEvery is how often the addresses of VMs are read. New VMs make
-	// themselves known, so that this is only for those that could not.
-	vmsEvery = 20 * time.Second
-	// staleAfter is how much older than its reading takes the list or the
-	// configuration may be before a peer is asked, or those that stand by read
-	// themselves: VMs hear of a reading with its reader's next beat.
-	staleAfter = gossiper.HeartbeatInterval + 100*time.Millisecond
-	// announceAgain is the wait after this VM could not be recorded, mostAgain its
-	// bound as it doubles: relays tell of it meanwhile.
-	announceAgain = 500 * time.Millisecond
-	mostAgain     = 8 * time.Second
-	// announceTime bounds that call.
-	announceTime = 2 * time.Second
-	// lapsedUse is how long an upstream is used on whose entry went while the
-	// platform was away: upstreams that live are listed again within two
-	// seconds of its return.
-	lapsedUse = 1800 * time.Millisecond
-	// outage is for how long the platform has answered nobody where entries that
-	// are gone count as lapsed. Those that go later are news like any other: an
-	// upstream may leave a moment after the platform's return, and one that was
-	// used on then would get work that it never answers.
-	outage = 1500 * time.Millisecond
+	// configWaitFraction is the fraction of ConfigApplyTimeout for which the platform may
+	// hold a long poll for the configuration. When all readers of a zone have fallen
+	// silent, the other VMs notice only after that time.
+	configWaitFraction = 0.5
+	// configBehindLimit is how long another VM may have a newer configuration before it is
+	// asked for it: the platform's own response takes some milliseconds, and versions must
+	// be in force within two seconds.
+	configBehindLimit = 200 * time.Millisecond
+	// upstreamsIntervalFraction is the fraction of DrainTimeout after which the list of
+	// upstreams is read again. The list is not long-polled: upstreams write to it all the
+	// time, so a long poll would return at each of their heartbeats.
+	upstreamsIntervalFraction = 0.3
+	// maxUpstreamsInterval is the upper limit of that interval. It must be short enough to
+	// distinguish an outage of the platform from the time between two reads.
+	maxUpstreamsInterval = 900 * time.Millisecond
+	// vmsInterval is how often the addresses of VMs are read. New VMs announce themselves,
+	// so this only serves those that could not.
+	vmsInterval = 20 * time.Second
+	// staleMargin is how much older than the time of a read the list of upstreams or the
+	// configuration may be before a peer is asked, or standby VMs read it themselves. VMs
+	// learn of a read with the reader's next heartbeat.
+	staleMargin = gossiper.HeartbeatInterval + 100*time.Millisecond
+	// registerRetryDelay is the first delay after a failed registration of this VM. It
+	// doubles up to maxRegisterRetryDelay; meanwhile relays make the VM known.
+	registerRetryDelay    = 500 * time.Millisecond
+	maxRegisterRetryDelay = 8 * time.Second
+	// registerTimeout is the timeout of a registration, and of the first read of the list
+	// of VMs.
+	registerTimeout = 2 * time.Second
+	// lapsedGracePeriod is how long an upstream stays in use after its entry disappeared
+	// during an outage of the platform: live upstreams are listed again within two seconds
+	// of the platform's return.
+	lapsedGracePeriod = 1800 * time.Millisecond
+	// outageThreshold is how long the platform must have answered no VM for entries that
+	// are gone to count as lapsed. Entries that disappear later are removed at once: an
+	// upstream may leave just after the platform's return, and if it stayed in use it would
+	// get requests that it never answers.
+	outageThreshold = 1500 * time.Millisecond
 )
 
-// ReadIntervals are for how long the platform holds a reading of the configuration, and
-// how often the list of upstreams is read. Each reading is paid for, also where few
-// requests come, so that it is as rare as the bounds allow.
-func (b Bounds) ReadIntervals() (held, every time.Duration) {
-	return time.Duration(configurationShare * float64(b.ConfigApplyTimeout)), min(mostUpstreams, time.Duration(upstreamsShare*float64(b.DrainTimeout)))
+// ReadIntervals returns how long the platform may hold a long poll for the configuration,
+// and how often the list of upstreams is read. Each read has a cost, even under low load,
+// so reads are as rare as the bounds allow.
+func (b Bounds) ReadIntervals() (wait, interval time.Duration) {
+	return time.Duration(configWaitFraction * float64(b.ConfigApplyTimeout)), min(maxUpstreamsInterval, time.Duration(upstreamsIntervalFraction*float64(b.DrainTimeout)))
 }
 
 func (v *Process) newSyncers() {
-	held, every := v.settings.Load().Bounds.ReadIntervals()
+	wait, interval := v.settings.Load().Bounds.ReadIntervals()
 	for _, s := range []syncer.Stream{
-		{Name: Configuration, Wait: held, Stale: held + staleAfter, Behind: configurationBehind, Shared: true},
-		{Name: Upstreams, Every: every, Stale: every + staleAfter, Shared: true},
-		{Name: VMs, Every: vmsEvery, Stale: 2 * vmsEvery, Shared: true},
+		{Name: Configuration, Wait: wait, Stale: wait + staleMargin, Behind: configBehindLimit, Shared: true},
+		{Name: Upstreams, Every: interval, Stale: interval + staleMargin, Shared: true},
+		{Name: VMs, Every: vmsInterval, Stale: 2 * vmsInterval, Shared: true},
 	} {
 		s.Copy = v.copies[s.Name]
 		v.syncers = append(v.syncers, syncer.New(s, v.platform, fetcher{v.gossiper}, time.Now, v.log))
 	}
 }
 
-// wake has peers asked for what this VM does not know at all yet.
-func (v *Process) wake() {
+// wakeSyncers makes the syncers ask peers at once for streams of which this VM has no
+// records yet.
+func (v *Process) wakeSyncers() {
 	for _, s := range v.syncers {
 		s.Wake()
 	}
 }
 
-// ends tells how far this VM has read. What it has read since the last record that
-// mattered changes nothing for whoever has read as far as that: upstreams write all
-// the time that they live, and each VM would fetch that from the one that reads.
-func (v *Process) ends() map[string]gossiper.StreamPosition {
-	ends := make(map[string]gossiper.StreamPosition, len(v.syncers))
+// positions returns how far this VM has read each stream, up to the last record that
+// changed anything. Later records change nothing for VMs that have read as far: upstreams
+// rewrite their entries all the time, and each VM would fetch all these from the reader.
+func (v *Process) positions() map[string]gossiper.StreamPosition {
+	positions := make(map[string]gossiper.StreamPosition, len(v.syncers))
 	for _, s := range v.syncers {
 		c := v.copies[s.Stream()]
 		if end, _ := c.End(); end > 0 || s.Failing() {
-			ends[s.Stream()] = gossiper.StreamPosition{Offset: v.marks[s.Stream()].Load(), ConfirmedAt: c.ReadAt(), Failing: s.Failing()}
+			positions[s.Stream()] = gossiper.StreamPosition{Offset: v.relevantEnds[s.Stream()].Load(), ConfirmedAt: c.ReadAt(), Failing: s.Failing()}
 		}
 	}
-	return ends
+	return positions
 }
 
-// matters notes that a record changes what others have to know.
-func (v *Process) matters(stream string, r replicator.Record) {
-	v.marks[stream].Store(max(v.marks[stream].Load(), r.Offset+1))
+// markRelevant records that other VMs need a record, because it changes something.
+func (v *Process) markRelevant(stream string, r replicator.Record) {
+	v.relevantEnds[stream].Store(max(v.relevantEnds[stream].Load(), r.Offset+1))
 }
 
-// configure folds records of the configuration.
-func (v *Process) configure(rs []replicator.Record, _ time.Duration) {
+// applyConfiguration applies records of the Configuration stream.
+func (v *Process) applyConfiguration(rs []replicator.Record, _ time.Duration) {
 	for _, r := range rs {
-		v.matters(Configuration, r)
+		v.markRelevant(Configuration, r)
 		c, err := v.platform.ParseChange(r)
 		if err != nil {
-			v.log.Error().Str("key", r.Key).Int64("offset", r.Offset).Err(err).Msg("configuration record not understood")
+			v.log.Error().Str("key", r.Key).Int64("offset", r.Offset).Err(err).Msg("invalid configuration record")
 			continue
 		}
 		if c.Config != nil {
-			v.enforce(*c.Config, r.Offset)
+			v.activateConfig(*c.Config, r.Offset)
 		}
 		if c.Zone != "" {
 			v.zones[c.Zone] = c.OutOfService
-			v.takeOut(c.Zone, c.OutOfService, r.Offset)
+			v.setZoneOutOfService(c.Zone, c.OutOfService, r.Offset)
 		}
 	}
 	v.allocator.Dispatch()
 }
 
-// enforce puts a version in force, unless a newer one is: whoever brings it, a
-// process never goes back.
-func (v *Process) enforce(c matcher.Config, offset int64) {
+// activateConfig puts a version of the configuration in force, unless it is not newer than
+// the current one. A process never goes back to an older version, whatever its source.
+func (v *Process) activateConfig(c matcher.Config, offset int64) {
 	if old := v.table.Load(); old != nil && c.Version <= old.Version {
 		v.log.Warn().Int64("version", c.Version).Int64("in force", old.Version).Int64("offset", offset).Msg("older configuration ignored")
 		return
@@ -135,142 +137,149 @@
 		Int("services", len(c.Services)).Int("teams", len(c.Teams)).Msg("configuration in force")
 }
 
-func (v *Process) takeOut(zone string, out bool, offset int64) {
+func (v *Process) setZoneOutOfService(zone string, out bool, offset int64) {
 	zones := make(map[string]bool, len(v.zones))
-	for name, is := range v.zones {
-		zones[name] = is
+	for name, outOfService := range v.zones {
+		zones[name] = outOfService
 	}
 	v.tracker.TakeOut(zones)
-	v.log.Info().Str("zone", zone).Bool("out", out).Int64("offset", offset).Msg("zone of upstreams")
+	v.log.Info().Str("zone", zone).Bool("out", out).Int64("offset", offset).Msg("zone service state set")
 }
 
-// list folds entries of upstreams.
-func (v *Process) list(rs []replicator.Record, gap time.Duration) {
+// applyUpstreams applies records of the Upstreams stream. gap is how long the platform had
+// answered no VM before.
+func (v *Process) applyUpstreams(rs []replicator.Record, gap time.Duration) {
 	now := time.Now()
-	lapsing := gap > outage
+	afterOutage := gap > outageThreshold
 	for _, r := range rs {
 		if r.Dropped {
-			if v.tracker.Remove(now, r.Key, lapsing) {
-				v.matters(Upstreams, r)
-				v.log.Info().Str("upstream", r.Key).Int64("offset", r.Offset).Bool("lapsed", lapsing).Dur("silence", gap).Msg("upstream gone from the list")
+			if v.tracker.Remove(now, r.Key, afterOutage) {
+				v.markRelevant(Upstreams, r)
+				v.log.Info().Str("upstream", r.Key).Int64("offset", r.Offset).Bool("lapsed", afterOutage).Dur("silence", gap).Msg("upstream removed from the list")
 			}
 			continue
 		}
 		u, err := v.platform.ParseUpstream(r)
 		if err != nil {
-			v.log.Warn().Str("key", r.Key).Int64("offset", r.Offset).Err(err).Msg("entry of an upstream not understood")
+			v.log.Warn().Str("key", r.Key).Int64("offset", r.Offset).Err(err).Msg("invalid upstream entry")
 			v.tracker.Remove(now, r.Key, false)
-			v.matters(Upstreams, r)
+			v.markRelevant(Upstreams, r)
 			continue
 		}
 		if v.tracker.Put(now, u) {
-			v.matters(Upstreams, r)
+			v.markRelevant(Upstreams, r)
 			v.log.Info().Str("upstream", u.ID).Str("service", u.Service).Str("zone", u.Zone).Str("address", u.Address).
-				Bool("draining", u.Draining).Dur("cold", u.Cold).Int64("born", u.Born).Int64("offset", r.Offset).Msg("upstream")
+				Bool("draining", u.Draining).Dur("cold", u.Cold).Int64("born", u.Born).Int64("offset", r.Offset).Msg("upstream added or changed")
 		}
 	}
 	if v.listed.CompareAndSwap(false, true) {
-		// Not before: a request that waits for the list would be refused for want of
-		// upstreams while the entries are still being taken in.
+		// This must come after all entries: otherwise a request that waits for the list
+		// would be refused for lack of upstreams while entries are still being applied.
 		v.tracker.Outdate(false)
 	}
 	v.allocator.Dispatch()
 }
 
-func (v *Process) expire(now time.Time) {
-	for _, id := range v.tracker.Expire(now, lapsedUse) {
-		v.log.Info().Str("upstream", id).Msg("lapsed upstream was not listed again")
+func (v *Process) expireLapsed(now time.Time) {
+	for _, id := range v.tracker.Expire(now, lapsedGracePeriod) {
+		v.log.Info().Str("upstream", id).Msg("lapsed upstream removed")
 		v.allocator.Forget(id)
 	}
 }
 
-// outdatedShare is the part of the time in which upstreams must get nothing more
-// that a list may be behind. The rest is for the way of the platform's answer to
-// this VM, a quarter of a second and a beat, and for a request's to its upstream.
-const outdatedShare = 0.6
+// outdatedFraction is the fraction of DrainTimeout by which the list of upstreams may lag.
+// The rest is for the platform's response to reach this VM, which takes a quarter of a
+// second and a heartbeat, and for a request to reach its upstream.
+const outdatedFraction = 0.6
 
-// watch compares the copies with what the platform has told others. A VM that its
-// peers' records reach late has to know it: it would use upstreams on that have
-// left, and take those that are gone for lapsed. One that has just started and has
-// no list yet would refuse what it could serve a moment later.
-func (v *Process) watch() {
+// checkOutdated compares the copies of the platform's records with what the platform has
+// confirmed to other VMs, and sets whether the list of upstreams is outdated. A VM that
+// receives records late must know that. Otherwise it would keep using upstreams that have
+// left, and take entries that were removed for lapsed ones. The list also counts as
+// outdated while a VM that has just started has none, because it would otherwise refuse
+// requests that it could serve a moment later.
+func (v *Process) checkOutdated() {
 	for name, c := range v.copies {
 		c.Heard(v.gossiper.LastConfirmed(name))
 	}
-	copied := v.copies[Upstreams]
-	behind := copied.Behind()
-	_, asOf := copied.End()
-	outdated := asOf.IsZero() || behind > time.Duration(outdatedShare*float64(v.settings.Load().Bounds.DrainTimeout))
+	upstreams := v.copies[Upstreams]
+	behind := upstreams.Behind()
+	_, asOf := upstreams.End()
+	outdated := asOf.IsZero() || behind > time.Duration(outdatedFraction*float64(v.settings.Load().Bounds.DrainTimeout))
 	if !v.tracker.Outdate(outdated) {
 		return
 	}
-	v.log.Warn().Bool("outdated", outdated).Dur("behind", behind).Msg("list of upstreams")
+	v.log.Warn().Bool("outdated", outdated).Dur("behind", behind).Msg("state of the upstream list changed")
 	v.allocator.Dispatch()
 }
 
-// meet folds addresses of VMs.
-func (v *Process) meet(rs []replicator.Record, _ time.Duration) {
+// applyVMs applies records of the VMs stream.
+func (v *Process) applyVMs(rs []replicator.Record, _ time.Duration) {
 	for _, r := range rs {
-		if v.hold(r) || r.Dropped {
+		if v.applyQuarantine(r) || r.Dropped {
 			continue
 		}
 		m, err := v.platform.ParseMember(r)
 		if err != nil {
-			v.log.Warn().Str("key", r.Key).Err(err).Msg("record of a VM not understood")
+			v.log.Warn().Str("key", r.Key).Err(err).Msg("invalid VM record")
 			continue
 		}
-		v.matters(VMs, r)
+		v.markRelevant(VMs, r)
 		v.gossiper.AddPeer(m)
-		if m.VM == v.me.VM {
-			v.own.Store(&m)
+		if m.VM == v.self.VM {
+			v.registered.Store(&m)
 		}
 	}
 }
 
 const (
-	// together is how long VMs that start together take to record themselves.
-	together = 400 * time.Millisecond
-	// meeting is how long a process waits for the list of VMs before it reads the
-	// rest for itself.
-	meeting = 600 * time.Millisecond
+	// bootstrapDelay is the time that all VMs of a fleet that starts for the first time
+	// are given to register.
+	bootstrapDelay = 400 * time.Millisecond
+	// vmListWait is how long a process waits for the list of VMs before it starts to read
+	// the streams.
+	vmListWait = 600 * time.Millisecond
 )
 
-// introduce reads the list of VMs and records this one there, unless an earlier run
-// of it has. Of VMs that start together each records itself first: read before, the
-// list would be empty, and each VM would read everything for itself.
-func (v *Process) introduce(ctx context.Context) {
-	defer close(v.met)
+// readVMListAndRegister reads the list of VMs and registers this one, unless an earlier run
+// of it has done so. When a fleet starts for the first time, each VM registers before it
+// reads the list: otherwise the list would be empty, and each VM would read all streams
+// for itself.
+func (v *Process) readVMListAndRegister(ctx context.Context) {
+	defer close(v.vmListRead)
 	if v.settings.Load().FleetBootstrap {
-		v.announce(ctx)
-		wait(ctx, together)
+		v.register(ctx)
+		sleep(ctx, bootstrapDelay)
 	}
-	short, cancel := context.WithTimeout(ctx, announceTime)
-	rs, end, err := v.platform.Newest(short, VMs)
+	callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
+	rs, end, err := v.platform.Newest(callCtx, VMs)
 	cancel()
 	if err != nil {
-		v.log.Warn().Err(err).Msg("list of VMs not read")
+		v.log.Warn().Err(err).Msg("failed to read the list of VMs")
 	} else {
 		v.copies[VMs].Complete(rs, end, time.Now())
 	}
 	v.gossiper.SendHello()
-	if own := v.own.Load(); own == nil || *own != v.me {
-		go v.announce(ctx)
+	if registered := v.registered.Load(); registered == nil || *registered != v.self {
+		go v.register(ctx)
 	}
 }
 
-// follow keeps a stream, once it is known who reads it for others.
-func (v *Process) follow(ctx context.Context, s *syncer.Syncer) {
-	t := time.NewTimer(meeting)
+// runSyncer syncs a stream. It first waits for the list of VMs, from which it is known
+// which VM reads the stream for the others.
+func (v *Process) runSyncer(ctx context.Context, s *syncer.Syncer) {
+	t := time.NewTimer(vmListWait)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-v.met:
+	case <-v.vmListRead:
 	}
 	s.Run(ctx)
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -279,21 +288,21 @@
 	}
 }
 
-// announce records this VM for the others until that has been done.
-func (v *Process) announce(ctx context.Context) {
-	for again := announceAgain; ctx.Err() == nil; again = min(mostAgain, 2*again) {
-		short, cancel := context.WithTimeout(ctx, announceTime)
-		err := v.platform.RegisterVM(short, v.me)
+// register registers this VM with the platform and retries until it succeeds.
+func (v *Process) register(ctx context.Context) {
+	for delay := registerRetryDelay; ctx.Err() == nil; delay = min(maxRegisterRetryDelay, 2*delay) {
+		callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
+		err := v.platform.RegisterVM(callCtx, v.self)
 		cancel()
 		if err == nil {
 			return
 		}
-		v.log.Warn().Err(err).Msg("this VM was not recorded")
-		wait(ctx, again+rand.N(again))
+		v.log.Warn().Err(err).Msg("failed to register this VM")
+		sleep(ctx, delay+rand.N(delay))
 	}
 }
 
-// service finds a service of the configuration in force.
+// service returns a service of the configuration in force.
 func (v *Process) service(name string) (*matcher.Service, bool) {
 	t := v.table.Load()
 	if t == nil {
@@ -302,25 +311,26 @@
 	return t.Service(name)
 }
 
-// coldParts is in how many parts the bound of an upstream in cold start is divided
-// that holds in sum over all VMs: one for whoever leads its group, one for another
-// that takes itself for the leader at the same time, and one for all VMs together
-// that decide alone.
-const coldParts = 3
+// coldQuotaDivisor is the number of equal parts into which the fleet-wide limit of an
+// upstream in cold start is divided: one for the leader of its group, one for another VM
+// that takes itself for the leader at the same time, and one shared by all VMs that decide
+// without a leader.
+const coldQuotaDivisor = 3
 
-// coldPart is what this VM may place there in a second.
-func (v *Process) coldPart(upstream string, rate float64, leads bool) int {
+// coldStartQuota returns how many requests per second this VM may place at an upstream in
+// cold start.
+func (v *Process) coldStartQuota(upstream string, rate float64, leads bool) int {
 	b := v.settings.Load().Bounds
-	part := (rate*b.ColdMultiplier + b.ColdSlack) / coldParts
+	quota := (rate*b.ColdMultiplier + b.ColdSlack) / coldQuotaDivisor
 	if leads {
-		return int(part)
+		return int(quota)
 	}
-	return budgeter.Quota(part, "cold "+upstream, v.settings.Load().VM, v.gossiper.LiveVMs())
+	return budgeter.Quota(quota, "cold "+upstream, v.settings.Load().VM, v.gossiper.LiveVMs())
 }
 
-// idlePart is how many idle connections this VM may keep to an upstream that accepts so
-// many from all VMs: 0 for the usual number, less for none.
-func (v *Process) idlePart(connections int, upstream string) int {
+// maxIdleConns returns how many idle connections this VM may keep to an upstream that
+// accepts the given number from all VMs: 0 for the default, or a negative number for none.
+func (v *Process) maxIdleConns(connections int, upstream string) int {
 	if connections <= 0 {
 		return 0
 	}
@@ -331,10 +341,10 @@
 	return n
 }
 
-// leaseSpare is what a lease is shorter than the time in which memory must be
-// free after its VM died.
-const leaseSpare = 600 * time.Millisecond
+// leaseMargin is by how much a lease is shorter than ReleaseTimeout, the time within which
+// memory must be free after its VM died.
+const leaseMargin = 600 * time.Millisecond
 
-func (v *Process) lease() time.Duration {
-	return max(time.Second, v.settings.Load().Bounds.ReleaseTimeout-leaseSpare)
+func (v *Process) leaseDuration() time.Duration {
+	return max(time.Second, v.settings.Load().Bounds.ReleaseTimeout-leaseMargin)
 }
--- a/entry/process/joiner/joiner.go
+++ b/entry/process/joiner/joiner.go
@@ -1,7 +1,7 @@
-// Package joiner joins the parts of a process that forwards requests by a
-// platform's own configuration, list of upstreams and dialect. It starts them,
-// folds what the platform's records say into them, and ends them in the order
-// that cuts no request. What the platform's bytes mean is a Platform's matter.
+// Package joiner assembles the process that forwards requests according to a platform's
+// configuration, list of upstreams and protocol. It starts the components, applies the
+// platform's records to them, and stops them in an order that interrupts no request. A
+// Platform interprets the platform's encodings.
 package joiner
 
 import (
@@ -34,212 +34,218 @@
 	"github.com/heathervane/heathervane/library/ticker"
 )
 
-// The streams of records that a Platform keeps.
+// The names of the streams of records that a Platform stores.
 const (
 	// Configuration holds the configuration and the zones out of service.
 	Configuration = "configuration"
 	// Upstreams holds an entry for each upstream.
 	Upstreams = "upstreams"
-	// VMs holds the addresses of entry VMs, and the requests in quarantine.
+	// VMs holds the addresses of entry VMs and the requests in quarantine.
 	VMs = "vms"
 )
 
 const (
-	// step is how finely the timer service keeps time.
-	step = 5 * time.Millisecond
-	// watchEvery is how often the copies of the platform's records are compared
-	// with what the platform has told others: a part of the time in which these
-	// say so.
-	watchEvery = gossiper.HeartbeatInterval / 2
-	// sweepEvery is how often idle connections are looked at.
-	sweepEvery = time.Second
-	// bodyShare is the part of the VM's memory that request bodies may take.
-	bodyShare = 4
-	// callersShare is the part of the descriptors that callers' connections may
-	// take, as one over this: a request may need one more to its upstream.
-	callersShare = 2
+	// tickInterval is the resolution of the timer service.
+	tickInterval = 5 * time.Millisecond
+	// staleCheckInterval is how often the copies of the platform's records are compared
+	// with what the platform has confirmed to other VMs. It is a fraction of the interval
+	// at which these report it.
+	staleCheckInterval = gossiper.HeartbeatInterval / 2
+	// idleSweepInterval is how often idle connections are swept.
+	idleSweepInterval = time.Second
+	// bodyMemoryDivisor limits request bodies to this fraction (1/n) of the VM's memory.
+	bodyMemoryDivisor = 4
+	// callerConnsDivisor limits callers' connections to this fraction (1/n) of the file
+	// descriptors, because each request may need another one for its upstream.
+	callerConnsDivisor = 2
 )
 
-// Settings are what one process is started with.
+// Settings configure a Process.
 type Settings struct {
 	// VM is this VM's name and Zone its availability zone.
 	VM, Zone string
-	// CallersAddress, ReadyAddress, PeersAddress and MetricsAddress are the addresses to listen on.
+	// CallersAddress, ReadyAddress, PeersAddress and MetricsAddress are the addresses on
+	// which the process listens for callers, readiness checks, peers and metrics.
 	CallersAddress, ReadyAddress, PeersAddress, MetricsAddress string
-	// ReadyPath is where the balancer asks whether this VM takes callers.
+	// ReadyPath is the path at which the load balancer checks whether this VM is ready.
 	ReadyPath string
-	// Cores is the part of a core that the VM has.
+	// Cores is the share of CPU cores that the VM has.
 	Cores float64
-	// FleetBootstrap says that all VMs of the fleet start now, for the first time.
+	// FleetBootstrap is set when all VMs of the fleet start now for the first time.
 	FleetBootstrap bool
-	// Memory is the VM's memory in bytes, Descriptors how many sockets the
-	// process may have open.
+	// Memory is the VM's memory in bytes, and Descriptors how many sockets the process may
+	// have open.
 	Memory      int64
 	Descriptors int
 	Bounds      Bounds
 }
 
-// Bounds are what operators demand of all VMs together.
+// Bounds are the operators' requirements for the whole fleet.
 type Bounds struct {
-	// RetryRatio is how many repeats each request adds to the budget, and
-	// RetrySlack how many there are besides, in each RetryWindow.
+	// RetryRatio is how many retries each request adds to the budget, and RetrySlack how
+	// many are allowed in addition, in each RetryWindow.
 	RetryRatio, RetrySlack float64
 	RetryWindow            time.Duration
-	// ColdMultiplier and ColdSlack bound the requests a second to an upstream
+	// ColdMultiplier and ColdSlack limit the requests per second to an upstream that is
 	// in cold start.
 	ColdMultiplier, ColdSlack float64
-	// DrainTimeout is how soon an upstream that leaves must get nothing more.
+	// DrainTimeout is the time within which an upstream that leaves must get no more
+	// requests.
 	DrainTimeout time.Duration
-	// ConfigApplyTimeout is how soon a version of the configuration must be in force.
+	// ConfigApplyTimeout is the time within which a new version of the configuration must
+	// be in force.
 	ConfigApplyTimeout time.Duration
-	// ShutdownGrace is how long a process may go on after it is told to stop.
+	// ShutdownGrace is how long a process may continue after it is told to stop.
 	ShutdownGrace time.Duration
-	// ReleaseTimeout is how soon memory set aside at engines must be free again.
+	// ReleaseTimeout is the time within which memory reserved at engines must be free
+	// after its VM died.
 	ReleaseTimeout time.Duration
 }
 
-// A ConfigChange is what a record of the configuration says.
+// A ConfigChange is the content of a record of the Configuration stream.
 type ConfigChange struct {
-	// Config is a version of the configuration, nil where the record is none.
+	// Config is a version of the configuration, or nil if the record does not hold one.
 	Config *matcher.Config
-	// Zone is the zone that is taken out of service or, where Out is false,
-	// brought back.
+	// Zone is a zone that is taken out of service or, if OutOfService is false, put back
+	// into service. It is empty if the record does not concern a zone.
 	Zone         string
 	OutOfService bool
 }
 
-// A Platform translates a platform's records and calls.
+// A Platform implements a platform's encodings and calls.
 type Platform interface {
 	syncer.Source
 	reserver.EngineClient
 	relayer.Protocol
-	// RegisterVM records this VM for the other VMs.
+	// RegisterVM stores a record of this VM for the other VMs.
 	RegisterVM(ctx context.Context, m allocator.Member) error
-	// StoreQuarantine records for the other VMs that a request is held in quarantine, and Drop
-	// that it is no longer.
+	// StoreQuarantine stores a record for the other VMs that a request is held in
+	// quarantine.
 	StoreQuarantine(ctx context.Context, r quarantiner.Record) error
+	// DeleteQuarantine deletes the record that StoreQuarantine stored.
 	DeleteQuarantine(ctx context.Context, f fingerprinter.Fingerprint) error
-	// ParseChange, Upstream, Peer and Quarantined read records of the three streams, the
-	// last two those of VMs. Errors name what could not be read; such a record
-	// changes nothing.
+	// ParseChange, ParseUpstream and ParseMember parse records of the streams
+	// Configuration, Upstreams and VMs. An error describes what could not be parsed; such
+	// a record changes nothing.
 	ParseChange(r replicator.Record) (ConfigChange, error)
 	ParseUpstream(r replicator.Record) (tracker.Upstream, error)
 	ParseMember(r replicator.Record) (allocator.Member, error)
-	// ParseQuarantine says whether a record is one that Keep made; where it was dropped,
-	// only its fingerprint is known.
+	// ParseQuarantine parses a record of the stream VMs and reports whether it was stored
+	// by StoreQuarantine. For a deleted record only the fingerprint is known.
 	ParseQuarantine(r replicator.Record) (q quarantiner.Record, ok bool, err error)
 }
 
-// A Process is one VM's process.
+// A Process is the process that forwards requests on one VM.
 type Process struct {
 	settings atomic.Pointer[Settings]
 	platform Platform
 	log      zerolog.Logger
 	boot     int64
-	me       allocator.Member
+	self     allocator.Member
 
-	meter     *meter.Meter
-	ticker    *ticker.Ticker
-	tracker   *tracker.Tracker
-	allocator *allocator.Allocator
-	gossiper  *gossiper.Gossiper
-	carrier   *carrier.Carrier
-	relayer   *relayer.Relayer
-	budget    *budget
-	// quarantine knows the requests that crash upstreams, and dropping those that the
-	// platform need not keep any longer.
-	quarantine *quarantiner.Quarantiner
-	dropping   dropping
-	// found has a value after something was found out of a request.
-	found    chan struct{}
-	acceptor *acceptor.Acceptor
-	syncers  []*syncer.Syncer
-	// configured is closed once a configuration is in force, and listed says that a
-	// first list of upstreams has come.
+	meter       *meter.Meter
+	ticker      *ticker.Ticker
+	tracker     *tracker.Tracker
+	allocator   *allocator.Allocator
+	gossiper    *gossiper.Gossiper
+	carrier     *carrier.Carrier
+	relayer     *relayer.Relayer
+	retryBudget *retryBudget
+	// quarantine holds the requests that crash upstreams, and pendingDeletes those whose
+	// records the platform may delete.
+	quarantine     *quarantiner.Quarantiner
+	pendingDeletes pendingDeletes
+	// quarantineChanged receives a value when the quarantine may have changes to store.
+	quarantineChanged chan struct{}
+	acceptor          *acceptor.Acceptor
+	syncers           []*syncer.Syncer
+	// configured is closed once a configuration is in force, and listed is set once a first
+	// list of upstreams has been applied.
 	configured chan struct{}
 	listed     atomic.Bool
-	// met is closed once the list of VMs has been read, marks are the ends of what
-	// mattered in each stream.
-	met chan struct{}
-	// own is this VM's record in the list of VMs; nil where it has none.
-	own    atomic.Pointer[allocator.Member]
-	marks  map[string]*atomic.Int64
-	copies map[string]*replicator.Copy
+	// vmListRead is closed once the first attempt to read the list of VMs has ended.
+	vmListRead chan struct{}
+	// registered is this VM's record in the list of VMs, or nil if it has none.
+	registered atomic.Pointer[allocator.Member]
+	// relevantEnds holds, for each stream, the offset after the last record that changed
+	// anything.
+	relevantEnds map[string]*atomic.Int64
+	copies       map[string]*replicator.Copy
 
-	table   atomic.Pointer[matcher.Table]
-	leaveAt atomic.Pointer[time.Time]
-	zones   map[string]bool
-	active  atomic.Int64
+	table          atomic.Pointer[matcher.Table]
+	leavingSince   atomic.Pointer[time.Time]
+	zones          map[string]bool
+	activeRequests atomic.Int64
 
-	callers, ready, metrics net.Listener
-	datagrams               *net.UDPConn
-	records                 net.Listener
+	callers, readiness, metrics net.Listener
+	datagrams                   *net.UDPConn
+	records                     net.Listener
 }
 
-// New joins the parts of a process and opens its addresses.
-func New(s Settings, p Platform, log zerolog.Logger) (*Process, error) {
+// New creates a Process and opens its listeners.
+func New(settings Settings, platform Platform, log zerolog.Logger) (*Process, error) {
 	v := &Process{
-		platform: p, log: log, boot: time.Now().UnixNano(), meter: meter.New(),
-		ticker: ticker.New(time.Now, step), tracker: tracker.New(), carrier: carrier.New(time.Now),
-		zones: make(map[string]bool), copies: make(map[string]*replicator.Copy), met: make(chan struct{}), configured: make(chan struct{}),
-		found: make(chan struct{}, 1),
-		marks: map[string]*atomic.Int64{Configuration: {}, Upstreams: {}, VMs: {}},
+		platform: platform, log: log, boot: time.Now().UnixNano(), meter: meter.New(),
+		ticker: ticker.New(time.Now, tickInterval), tracker: tracker.New(), carrier: carrier.New(time.Now),
+		zones: make(map[string]bool), copies: make(map[string]*replicator.Copy), vmListRead: make(chan struct{}), configured: make(chan struct{}),
+		quarantineChanged: make(chan struct{}, 1),
+		relevantEnds:      map[string]*atomic.Int64{Configuration: {}, Upstreams: {}, VMs: {}},
 	}
-	v.settings.Store(&s)
-	// No list is one that is too old.
+	v.settings.Store(&settings)
+	// Until a list of upstreams has been read, it counts as outdated.
 	v.tracker.Outdate(true)
-	if err := v.open(s); err != nil {
+	if err := v.openListeners(settings); err != nil {
 		return nil, err
 	}
-	v.copies[Configuration] = replicator.New(v.configure)
-	v.copies[Upstreams] = replicator.New(v.list)
-	v.copies[VMs] = replicator.New(v.meet)
-	self, err := netip.ParseAddrPort(v.datagrams.LocalAddr().String())
+	v.copies[Configuration] = replicator.New(v.applyConfiguration)
+	v.copies[Upstreams] = replicator.New(v.applyUpstreams)
+	v.copies[VMs] = replicator.New(v.applyVMs)
+	address, err := netip.ParseAddrPort(v.datagrams.LocalAddr().String())
 	if err != nil {
 		return nil, err
 	}
-	me := allocator.Member{VM: s.VM, Address: self, Zone: s.Zone, Cores: s.Cores}
-	v.me = me
-	v.gossiper = gossiper.New(me, v.boot, sender{v.datagrams}, v.ends, time.Now, log)
-	v.gossiper.OnPeerAhead(v.wake)
+	self := allocator.Member{VM: settings.VM, Address: address, Zone: settings.Zone, Cores: settings.Cores}
+	v.self = self
+	v.gossiper = gossiper.New(self, v.boot, sender{v.datagrams}, v.positions, time.Now, log)
+	v.gossiper.OnPeerAhead(v.wakeSyncers)
 	v.quarantine = quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: log, Broadcast: func() {
 		v.gossiper.ScheduleBroadcast()
-		signal(v.found)
-	}, MayRunTrial: v.mayTry})
+		notify(v.quarantineChanged)
+	}, MayRunTrial: v.mayRunTrial})
 	v.gossiper.SetSharedState(v.quarantine, v.ticker)
-	v.allocator = allocator.New(me, v.boot, allocator.Deps{
+	v.allocator = allocator.New(self, v.boot, allocator.Deps{
 		Tracker: v.tracker, Sender: sender{v.datagrams}, Timer: v.ticker, Meter: v.meter, Members: v.gossiper.ReachableMembers, FleetSize: v.gossiper.FleetSize,
-		Service: v.service, ColdStartQuota: v.coldPart, Now: time.Now, Log: log,
+		Service: v.service, ColdStartQuota: v.coldStartQuota, Now: time.Now, Log: log,
 	})
-	v.budget = newBudget(v)
+	v.retryBudget = newRetryBudget(v)
 	probes := prober.New(prober.Deps{
 		Tracker: v.tracker, Carrier: v.carrier, Meter: v.meter, Now: time.Now, Log: log,
-		Rejected: func(status int, h http.Header) bool { return p.ParseResponse(status, h).NotRun },
+		Rejected: func(status int, h http.Header) bool { return platform.ParseResponse(status, h).NotRun },
 	})
 	v.relayer = relayer.New(relayer.Deps{
-		Table: v.table.Load, Configured: v.configured, Protocol: p, Allocator: v.allocator, Tracker: v.tracker, Carrier: v.carrier,
-		Reserver:     reserver.New(s.VM+"-"+strconv.FormatInt(v.boot, 36)+"-", p, v.lease, log),
-		MaxIdleConns: v.idlePart,
-		Prober:       probes, RetryBudget: v.budget, Quarantine: v.quarantine, BodyMemory: bounder.New(s.Memory / bodyShare), Meter: v.meter, Now: time.Now, Log: log,
+		Table: v.table.Load, Configured: v.configured, Protocol: platform, Allocator: v.allocator, Tracker: v.tracker, Carrier: v.carrier,
+		Reserver:     reserver.New(settings.VM+"-"+strconv.FormatInt(v.boot, 36)+"-", platform, v.leaseDuration, log),
+		MaxIdleConns: v.maxIdleConns,
+		Prober:       probes, RetryBudget: v.retryBudget, Quarantine: v.quarantine, BodyMemory: bounder.New(settings.Memory / bodyMemoryDivisor), Meter: v.meter, Now: time.Now, Log: log,
 		ShuttingDown: v.leaving,
 	})
-	v.acceptor = acceptor.New(v.callers, v, s.Descriptors/callersShare, time.Now, log)
+	v.acceptor = acceptor.New(v.callers, v, settings.Descriptors/callerConnsDivisor, time.Now, log)
 	v.newSyncers()
-	return v, v.gauges()
+	return v, v.registerGauges()
 }
 
-// ServeHTTP counts the requests in progress and passes them on.
+// ServeHTTP passes a request to the relayer and counts the requests in progress.
 func (v *Process) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	v.active.Add(1)
-	defer v.active.Add(-1)
+	v.activeRequests.Add(1)
+	defer v.activeRequests.Add(-1)
 	v.relayer.ServeHTTP(w, q)
 }
 
-func (v *Process) gauges() error {
+func (v *Process) registerGauges() error {
 	for name, value := range map[string]func() int64{
 		"waiting":   func() int64 { return int64(v.allocator.Waiting()) },
 		"groups":    func() int64 { return int64(v.allocator.LedGroups()) },
-		"active":    v.active.Load,
+		"active":    v.activeRequests.Load,
 		"upstreams": func() int64 { return int64(v.tracker.Len()) },
 		"vms":       func() int64 { return int64(len(v.gossiper.LiveVMs())) },
 		"dials":     v.carrier.Dials,
@@ -260,41 +266,41 @@
 	return 0
 }
 
-// Reload puts changed settings in force. Addresses stay as they are until the
-// process starts again.
+// Reload applies changed settings. Changed addresses take effect only when the process is
+// restarted.
 func (v *Process) Reload(s Settings) {
 	old := *v.settings.Swap(&s)
 	v.log.Info().Bool("bounds", old.Bounds != s.Bounds).Msg("settings reloaded")
 }
 
-// Run serves until the context ends, then leaves without cutting a request.
+// Run serves requests until ctx is done, then shuts down without interrupting requests.
 func (v *Process) Run(ctx context.Context) {
-	inner, stop := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	v.background(inner, &parts)
+	background, stop := context.WithCancel(context.Background())
+	var wg sync.WaitGroup
+	v.startBackground(background, &wg)
 	v.log.Info().Int64("boot", v.boot).Str("callers", v.callers.Addr().String()).Msg("started")
 	<-ctx.Done()
-	v.leave()
+	v.shutDown()
 	stop()
-	v.close()
-	parts.Wait()
+	v.closeListeners()
+	wg.Wait()
 	v.log.Info().Msg("stopped")
 }
 
-func (v *Process) background(ctx context.Context, parts *sync.WaitGroup) {
-	v.ticker.Subscribe(sweepEvery, func(time.Time) { v.carrier.Sweep() })
+func (v *Process) startBackground(ctx context.Context, wg *sync.WaitGroup) {
+	v.ticker.Subscribe(idleSweepInterval, func(time.Time) { v.carrier.Sweep() })
 	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.gossiper.Tick)
-	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.expire)
-	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.budget.note)
-	v.ticker.Subscribe(watchEvery, func(time.Time) { v.watch() })
-	for _, run := range []func(context.Context){v.ticker.Run, v.introduce, v.keep} {
-		parts.Go(func() { run(ctx) })
+	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.expireLapsed)
+	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.retryBudget.recordMembers)
+	v.ticker.Subscribe(staleCheckInterval, func(time.Time) { v.checkOutdated() })
+	for _, run := range []func(context.Context){v.ticker.Run, v.readVMListAndRegister, v.syncQuarantine} {
+		wg.Go(func() { run(ctx) })
 	}
 	for _, s := range v.syncers {
-		parts.Go(func() { v.follow(ctx, s) })
-		parts.Go(func() { s.RunPeers(ctx) })
+		wg.Go(func() { v.runSyncer(ctx, s) })
+		wg.Go(func() { s.RunPeers(ctx) })
 	}
-	for _, run := range []func(){v.receive, v.acceptor.Run, v.serveReady, v.serveRecords, v.serveMetrics} {
-		parts.Go(run)
+	for _, run := range []func(){v.receiveDatagrams, v.acceptor.Run, v.serveReadiness, v.serveRecords, v.serveMetrics} {
+		wg.Go(run)
 	}
 }
--- a/entry/process/joiner/list_test.go
+++ b/entry/process/joiner/list_test.go
@@ -24,20 +24,19 @@
 	"github.com/heathervane/heathervane/entry/version/matcher"
 )
 
-// slow is a platform whose list has two upstreams, and which takes a while to read
-// each entry.
-type slow struct {
+// slowPlatform is a platform that lists two upstreams and parses each entry slowly.
+type slowPlatform struct {
 	reserver.EngineClient
 	address string
-	// listed is closed when the list may be read.
+	// listed is closed when the list of upstreams may be read.
 	listed chan struct{}
 }
 
-// entryTime is what reading an entry takes: longer than the time between two looks
-// at what waits.
-const entryTime = 4 * allocator.TickInterval
+// entryReadTime is how long parsing an entry takes. It is longer than the interval at which
+// the allocator checks waiting requests.
+const entryReadTime = 4 * allocator.TickInterval
 
-func (p *slow) Newest(_ context.Context, stream string) ([]replicator.Record, int64, error) {
+func (p *slowPlatform) Newest(_ context.Context, stream string) ([]replicator.Record, int64, error) {
 	switch stream {
 	case joiner.Configuration:
 		return []replicator.Record{{Key: "config", Value: []byte("x")}}, 1, nil
@@ -48,7 +47,7 @@
 	return nil, 1, nil
 }
 
-func (*slow) Read(ctx context.Context, _ string, from int64, wait time.Duration) ([]replicator.Record, int64, error) {
+func (*slowPlatform) Read(ctx context.Context, _ string, from int64, wait time.Duration) ([]replicator.Record, int64, error) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
@@ -56,9 +55,9 @@
 	return nil, from, ctx.Err()
 }
 
-func (*slow) RegisterVM(context.Context, allocator.Member) error { return nil }
+func (*slowPlatform) RegisterVM(context.Context, allocator.Member) error { return nil }
 
-func (*slow) ParseChange(replicator.Record) (joiner.ConfigChange, error) {
+func (*slowPlatform) ParseChange(replicator.Record) (joiner.ConfigChange, error) {
 	return joiner.ConfigChange{Config: &matcher.Config{
 		Version: 1, Services: []matcher.Service{{Name: "s"}}, Limits: matcher.Limits{Body: 1 << 10},
 		Routes: []matcher.Route{{
@@ -68,8 +67,8 @@
 	}}, nil
 }
 
-func (p *slow) ParseUpstream(r replicator.Record) (tracker.Upstream, error) {
-	time.Sleep(entryTime)
+func (p *slowPlatform) ParseUpstream(r replicator.Record) (tracker.Upstream, error) {
+	time.Sleep(entryReadTime)
 	u := tracker.Upstream{ID: r.Key, Service: r.Key, Address: p.address, Zone: "z", Slots: 4}
 	if r.Key == "needed" {
 		u.Service = "s"
@@ -77,30 +76,34 @@
 	return u, nil
 }
 
-func (*slow) ParseMember(replicator.Record) (allocator.Member, error) { return allocator.Member{}, nil }
+func (*slowPlatform) ParseMember(replicator.Record) (allocator.Member, error) {
+	return allocator.Member{}, nil
+}
 
-func (*slow) StoreQuarantine(context.Context, quarantiner.Record) error { return nil }
+func (*slowPlatform) StoreQuarantine(context.Context, quarantiner.Record) error { return nil }
 
-func (*slow) DeleteQuarantine(context.Context, fingerprinter.Fingerprint) error { return nil }
+func (*slowPlatform) DeleteQuarantine(context.Context, fingerprinter.Fingerprint) error { return nil }
 
-func (*slow) ParseQuarantine(replicator.Record) (q quarantiner.Record, ok bool, err error) {
+func (*slowPlatform) ParseQuarantine(replicator.Record) (q quarantiner.Record, ok bool, err error) {
 	return q, false, nil
 }
 
-func (*slow) ParseRequest(h http.Header) relayer.RequestInfo {
+func (*slowPlatform) ParseRequest(h http.Header) relayer.RequestInfo {
 	return relayer.RequestInfo{ID: h.Get("Id"), Timeout: 5 * time.Second}
 }
 
-func (*slow) ForwardHeader(h http.Header, _ relayer.ForwardInfo) http.Header { return h.Clone() }
+func (*slowPlatform) ForwardHeader(h http.Header, _ relayer.ForwardInfo) http.Header {
+	return h.Clone()
+}
 
-func (*slow) ParseResponse(_ int, h http.Header) relayer.ResponseInfo {
+func (*slowPlatform) ParseResponse(_ int, h http.Header) relayer.ResponseInfo {
 	return relayer.ResponseInfo{ID: h.Get("Id"), Sealed: true}
 }
 
-func (*slow) EventID([]byte) string { return "" }
+func (*slowPlatform) EventID([]byte) string { return "" }
 
-// free is a loopback address that nobody listens on.
-func free(t *testing.T) string {
+// freeAddress returns a loopback address that is not in use.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -108,33 +111,33 @@
 	return l.Addr().String()
 }
 
-// A request waits for the first list of upstreams, and the one that it needs is the
-// list's last. It must not be refused for want of upstreams while the entries before
-// are taken in.
-func TestFirstListCountsOnceItIsWhole(t *testing.T) {
+// A request waits for the first list of upstreams, in which the upstream that it needs
+// comes last. It must not be refused for lack of upstreams while the entries before are
+// being applied.
+func TestFirstListTakesEffectOnceComplete(t *testing.T) {
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		w.Header().Set("Id", q.Header.Get("Id"))
 		_, err := io.WriteString(w, "done")
 		assert.Check(t, err)
 	}))
 	defer upstream.Close()
-	p := &slow{address: strings.TrimPrefix(upstream.URL, "http://"), listed: make(chan struct{})}
-	callers := free(t)
+	p := &slowPlatform{address: strings.TrimPrefix(upstream.URL, "http://"), listed: make(chan struct{})}
+	callers := freeAddress(t)
 	v, err := joiner.New(joiner.Settings{
-		VM: "vm", Zone: "z", CallersAddress: callers, ReadyAddress: free(t), PeersAddress: free(t), MetricsAddress: free(t), ReadyPath: "/ready",
+		VM: "vm", Zone: "z", CallersAddress: callers, ReadyAddress: freeAddress(t), PeersAddress: freeAddress(t), MetricsAddress: freeAddress(t), ReadyPath: "/ready",
 		Cores: 1, Memory: 64 << 20, Descriptors: 256,
 		Bounds: joiner.Bounds{DrainTimeout: 2 * time.Second, ConfigApplyTimeout: 2 * time.Second, ShutdownGrace: 500 * time.Millisecond, ReleaseTimeout: 4 * time.Second, RetryWindow: time.Second},
 	}, p, zerolog.Nop())
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		v.Run(ctx)
-		close(ended)
+		close(done)
 	}()
 	defer func() {
 		stop()
-		<-ended
+		<-done
 	}()
 	time.AfterFunc(100*time.Millisecond, func() { close(p.listed) })
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+callers+"/x", http.NoBody)
--- a/entry/process/joiner/listeners.go
+++ b/entry/process/joiner/listeners.go
@@ -11,30 +11,32 @@
 )
 
 const (
-	// outTime is how long a VM that leaves goes on accepting: the balancer
-	// asks once a second and sends new connections until two misses.
-	outTime = 3500 * time.Millisecond
-	// stopSpare is what is left of the grace when the last requests are cut.
-	stopSpare = 400 * time.Millisecond
-	// ownTime bounds the head of a request on the process's own sides.
-	ownTime = 2 * time.Second
+	// leaveAcceptPeriod is how long a leaving VM continues to accept connections: the load
+	// balancer checks once a second and sends new connections until two checks have failed.
+	leaveAcceptPeriod = 3500 * time.Millisecond
+	// shutdownReserve is how long before the end of the grace period the remaining
+	// requests are interrupted.
+	shutdownReserve = 400 * time.Millisecond
+	// headerTimeout limits reading the header of a request to the readiness, records and
+	// metrics servers.
+	headerTimeout = 2 * time.Second
 )
 
-// open listens on all addresses.
-func (v *Process) open(s Settings) error {
-	for _, side := range []struct {
+// openListeners opens the listeners for all addresses.
+func (v *Process) openListeners(s Settings) error {
+	for _, endpoint := range []struct {
 		listener *net.Listener
 		address  string
 	}{
-		{&v.callers, s.CallersAddress}, {&v.ready, s.ReadyAddress}, {&v.records, s.PeersAddress}, {&v.metrics, s.MetricsAddress},
+		{&v.callers, s.CallersAddress}, {&v.readiness, s.ReadyAddress}, {&v.records, s.PeersAddress}, {&v.metrics, s.MetricsAddress},
 	} {
-		l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", side.address)
+		l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", endpoint.address)
 		if err != nil {
 			return err
 		}
-		*side.listener = l
+		*endpoint.listener = l
 	}
-	// Datagrams come to the same port as the records' connections.
+	// Datagrams arrive at the same port number as connections for records.
 	address, err := net.ResolveUDPAddr("udp", v.records.Addr().String())
 	if err != nil {
 		return err
@@ -43,43 +45,43 @@
 	return err
 }
 
-func (v *Process) close() {
+func (v *Process) closeListeners() {
 	v.gossiper.AnnounceExit()
-	for _, c := range []interface{ Close() error }{v.ready, v.records, v.metrics, v.datagrams} {
+	for _, c := range []interface{ Close() error }{v.readiness, v.records, v.metrics, v.datagrams} {
 		if err := c.Close(); err != nil {
-			v.log.Debug().Err(err).Msg("side not closed")
+			v.log.Debug().Err(err).Msg("failed to close listener")
 		}
 	}
 }
 
-// leaving says that this VM is about to stop, and what time it has left.
+// leaving reports whether this VM is about to stop, and how much time requests have left.
 func (v *Process) leaving() (bool, time.Duration) {
-	at := v.leaveAt.Load()
+	at := v.leavingSince.Load()
 	if at == nil {
 		return false, 0
 	}
-	return true, time.Until(at.Add(v.settings.Load().Bounds.ShutdownGrace - stopSpare))
+	return true, time.Until(at.Add(v.settings.Load().Bounds.ShutdownGrace - shutdownReserve))
 }
 
-// leave stops in the order that cuts no request: the balancer learns that no
-// connections should come, those that come meanwhile are served, and those in
-// progress end.
-func (v *Process) leave() {
+// shutDown stops the process without interrupting requests: the readiness check fails, so
+// that the load balancer stops sending connections; connections that still arrive are
+// served; then requests in progress complete.
+func (v *Process) shutDown() {
 	now := time.Now()
-	v.leaveAt.Store(&now)
-	v.log.Info().Int64("active", v.active.Load()).Msg("leaving")
+	v.leavingSince.Store(&now)
+	v.log.Info().Int64("active", v.activeRequests.Load()).Msg("leaving")
 	grace := v.settings.Load().Bounds.ShutdownGrace
 	v.gossiper.AnnounceLeaving()
-	v.allocator.Drain(now.Add(grace - stopSpare))
-	time.Sleep(min(outTime, grace/2))
-	ctx, cancel := context.WithDeadline(context.Background(), now.Add(grace-stopSpare))
+	v.allocator.Drain(now.Add(grace - shutdownReserve))
+	time.Sleep(min(leaveAcceptPeriod, grace/2))
+	ctx, cancel := context.WithDeadline(context.Background(), now.Add(grace-shutdownReserve))
 	defer cancel()
 	if err := v.acceptor.Shutdown(ctx); err != nil {
-		v.log.Warn().Err(err).Int64("active", v.active.Load()).Msg("requests cut at the end of the grace")
+		v.log.Warn().Err(err).Int64("active", v.activeRequests.Load()).Msg("requests interrupted at the end of the grace period")
 	}
 }
 
-func (v *Process) serveReady() {
+func (v *Process) serveReadiness() {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+v.settings.Load().ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		leaving, _ := v.leaving()
@@ -87,7 +89,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	v.serve(v.ready, mux, "ready")
+	v.serve(v.readiness, mux, "ready")
 }
 
 func (v *Process) serveRecords() {
@@ -100,9 +102,9 @@
 	v.serve(v.metrics, v.meter.Handler(), "metrics")
 }
 
-func (v *Process) serve(l net.Listener, h http.Handler, side string) {
-	s := &http.Server{Handler: h, ReadHeaderTimeout: ownTime}
+func (v *Process) serve(l net.Listener, h http.Handler, name string) {
+	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	if err := s.Serve(l); err != nil && !errors.Is(err, net.ErrClosed) {
-		v.log.Error().Str("side", side).Err(err).Msg("serving ended")
+		v.log.Error().Str("side", name).Err(err).Msg("server stopped")
 	}
 }
--- a/entry/process/joiner/peers.go
+++ b/entry/process/joiner/peers.go
@@ -12,10 +12,10 @@
 	"github.com/heathervane/heathervane/entry/process/replicator"
 )
 
-// mostDatagram is the longest datagram read, in bytes.
-const mostDatagram = 64 << 10
+// maxDatagramSize is the size in bytes of the buffer for received datagrams.
+const maxDatagramSize = 64 << 10
 
-// A sender sends datagrams over a socket.
+// A sender sends datagrams over a UDP socket.
 type sender struct{ conn *net.UDPConn }
 
 func (s sender) Send(to netip.AddrPort, data []byte) error {
@@ -23,9 +23,10 @@
 	return err
 }
 
-// receive takes datagrams in until the socket is closed.
-func (v *Process) receive() {
-	buffer := make([]byte, mostDatagram)
+// receiveDatagrams passes datagrams to the allocator and the gossiper until the socket is
+// closed.
+func (v *Process) receiveDatagrams() {
+	buffer := make([]byte, maxDatagramSize)
 	for {
 		n, from, err := v.datagrams.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -40,10 +41,10 @@
 	}
 }
 
-// A fetcher reads records from peers.
+// A fetcher fetches records from peers.
 type fetcher struct{ *gossiper.Gossiper }
 
-// Fetch gets a peer's records from an offset on.
+// Fetch fetches a peer's records of a stream, starting at an offset.
 func (f fetcher) Fetch(ctx context.Context, from netip.AddrPort, stream string, offset int64) (replicator.Page, error) {
 	return pager.Fetch(ctx, from, stream, offset, time.Now)
 }
--- a/entry/process/joiner/quarantine.go
+++ b/entry/process/joiner/quarantine.go
@@ -13,20 +13,22 @@
 )
 
 const (
-	// keepEvery is how often it is looked at whether the platform has to be told of
-	// requests in quarantine.
-	keepEvery = time.Second
-	// keepTime bounds such a call.
-	keepTime = 2 * time.Second
+	// quarantineSyncInterval is how often the quarantine is checked for changes that the
+	// platform must store.
+	quarantineSyncInterval = time.Second
+	// quarantineCallTimeout is the timeout of a call to the platform to store or delete a
+	// quarantine record.
+	quarantineCallTimeout = 2 * time.Second
 )
 
-// dropping are the requests whose records are over and still kept by the platform.
-type dropping struct {
+// pendingDeletes is the set of requests whose quarantine has expired but whose records the
+// platform still stores.
+type pendingDeletes struct {
 	mu       sync.Mutex
 	requests map[fingerprinter.Fingerprint]bool
 }
 
-func (d *dropping) add(fs ...fingerprinter.Fingerprint) {
+func (d *pendingDeletes) add(fs ...fingerprinter.Fingerprint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.requests == nil {
@@ -37,13 +39,13 @@
 	}
 }
 
-func (d *dropping) done(f fingerprinter.Fingerprint) {
+func (d *pendingDeletes) remove(f fingerprinter.Fingerprint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.requests, f)
 }
 
-func (d *dropping) all() (fs []fingerprinter.Fingerprint) {
+func (d *pendingDeletes) all() (fs []fingerprinter.Fingerprint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for f := range d.requests {
@@ -52,83 +54,86 @@
 	return fs
 }
 
-// hold folds a record that a request is in quarantine, or no longer, and says
-// whether it is such a record.
-func (v *Process) hold(r replicator.Record) bool {
+// applyQuarantine applies a record that a request is in quarantine or no longer is. It
+// reports whether the record is a quarantine record.
+func (v *Process) applyQuarantine(r replicator.Record) bool {
 	q, ok, err := v.platform.ParseQuarantine(r)
 	switch {
 	case !ok:
 		return false
 	case err != nil:
-		v.log.Warn().Str("key", r.Key).Int64("offset", r.Offset).Err(err).Msg("record of a request in quarantine not understood")
+		v.log.Warn().Str("key", r.Key).Int64("offset", r.Offset).Err(err).Msg("invalid quarantine record")
 		return true
 	}
-	v.matters(VMs, r)
+	v.markRelevant(VMs, r)
 	if r.Dropped {
 		v.quarantine.Lift(q.Fingerprint)
-		v.dropping.done(q.Fingerprint)
+		v.pendingDeletes.remove(q.Fingerprint)
 		return true
 	}
 	if v.quarantine.Restore(q) {
-		v.dropping.add(q.Fingerprint)
+		v.pendingDeletes.add(q.Fingerprint)
 	}
 	return true
 }
 
-// keep has the platform keep the requests in quarantine, until the context ends.
-// What VMs only tell each other would end with the last of them.
-func (v *Process) keep(ctx context.Context) {
-	stop := v.ticker.Subscribe(keepEvery, func(time.Time) { signal(v.found) })
+// syncQuarantine stores the requests in quarantine with the platform until ctx is done.
+// State that VMs only exchange among themselves would be lost with the last of them.
+func (v *Process) syncQuarantine(ctx context.Context) {
+	stop := v.ticker.Subscribe(quarantineSyncInterval, func(time.Time) { notify(v.quarantineChanged) })
 	defer stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-v.found:
-			v.keepDue(ctx)
+		case <-v.quarantineChanged:
+			v.storeQuarantineChanges(ctx)
 		}
 	}
 }
 
-// mayTry says that this VM may run a held request once: one of those that live, by a
-// hash, so that a trial costs one upstream.
-func (v *Process) mayTry(f quarantiner.Fingerprint) bool {
-	return budgeter.Quota(1, "trial "+f.String(), v.me.VM, v.gossiper.LiveVMs()) > 0
+// mayRunTrial reports whether this VM may run a held request once. A hash selects one of
+// the live VMs, so that a trial crashes at most one upstream.
+func (v *Process) mayRunTrial(f quarantiner.Fingerprint) bool {
+	return budgeter.Quota(1, "trial "+f.String(), v.self.VM, v.gossiper.LiveVMs()) > 0
 }
 
-func signal(c chan struct{}) {
+// notify sends a value on a channel unless its buffer is full.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-func (v *Process) keepDue(ctx context.Context) {
-	held, over := v.quarantine.Reconcile()
-	v.dropping.add(over...)
-	for _, r := range held {
-		short, cancel := context.WithTimeout(ctx, keepTime)
-		err := v.platform.StoreQuarantine(short, r)
+// storeQuarantineChanges stores new quarantine records with the platform and, if this VM is
+// the reader of its zone, deletes expired ones.
+func (v *Process) storeQuarantineChanges(ctx context.Context) {
+	store, remove := v.quarantine.Reconcile()
+	v.pendingDeletes.add(remove...)
+	for _, r := range store {
+		callCtx, cancel := context.WithTimeout(ctx, quarantineCallTimeout)
+		err := v.platform.StoreQuarantine(callCtx, r)
 		cancel()
 		if err != nil {
-			v.log.Warn().Stringer("fingerprint", r.Fingerprint).Err(err).Msg("quarantine not recorded")
+			v.log.Warn().Stringer("fingerprint", r.Fingerprint).Err(err).Msg("failed to store quarantine record")
 			return
 		}
 		v.quarantine.MarkStored(r)
-		v.log.Info().Stringer("fingerprint", r.Fingerprint).Time("held", r.Since).Bool("confirmed", r.Confirmed).Msg("quarantine recorded")
+		v.log.Info().Stringer("fingerprint", r.Fingerprint).Time("held", r.Since).Bool("confirmed", r.Confirmed).Msg("quarantine record stored")
 	}
 	if v.gossiper.ReadRole() != gossiper.Reader {
 		return
 	}
-	for _, f := range v.dropping.all() {
-		short, cancel := context.WithTimeout(ctx, keepTime)
-		err := v.platform.DeleteQuarantine(short, f)
+	for _, f := range v.pendingDeletes.all() {
+		callCtx, cancel := context.WithTimeout(ctx, quarantineCallTimeout)
+		err := v.platform.DeleteQuarantine(callCtx, f)
 		cancel()
 		if err != nil {
-			v.log.Warn().Stringer("fingerprint", f).Err(err).Msg("end of a quarantine not recorded")
+			v.log.Warn().Stringer("fingerprint", f).Err(err).Msg("failed to delete quarantine record")
 			return
 		}
-		v.dropping.done(f)
-		v.log.Info().Stringer("fingerprint", f).Msg("end of a quarantine recorded")
+		v.pendingDeletes.remove(f)
+		v.log.Info().Stringer("fingerprint", f).Msg("quarantine record deleted")
 	}
 }
--- a/entry/process/joiner/readings_test.go
+++ b/entry/process/joiner/readings_test.go
@@ -10,25 +10,27 @@
 	"github.com/heathervane/heathervane/entry/process/joiner"
 )
 
-// Where the VM that reads for a zone falls silent, those that stand by notice when what
-// they have is stale. Their reading, the word of it and the fetch must end in time.
-func TestReadingsLeaveTimeForThoseThatStandBy(t *testing.T) {
+// When the reader of a zone falls silent, standby VMs notice once their records are stale.
+// Their own read, the heartbeat that reports it and the fetch by other VMs must still
+// complete within the bounds.
+func TestReadIntervalsLeaveTimeForStandbyReaders(t *testing.T) {
 	const (
-		stale = gossiper.HeartbeatInterval + 100*time.Millisecond
-		looks = 300 * time.Millisecond
-		beats = stale + looks + gossiper.HeartbeatInterval
+		staleAfter    = gossiper.HeartbeatInterval + 100*time.Millisecond
+		checkInterval = 300 * time.Millisecond
+		takeover      = staleAfter + checkInterval + gossiper.HeartbeatInterval
 	)
 	for bound := 2 * time.Second; bound <= 8*time.Second; bound += time.Second {
-		held, every := joiner.Bounds{ConfigApplyTimeout: bound, DrainTimeout: bound}.ReadIntervals()
-		assert.Assert(t, held+beats < bound, "%v of %v", held, bound)
-		assert.Assert(t, every+beats < bound, "%v of %v", every, bound)
+		wait, interval := joiner.Bounds{ConfigApplyTimeout: bound, DrainTimeout: bound}.ReadIntervals()
+		assert.Assert(t, wait+takeover < bound, "%v of %v", wait, bound)
+		assert.Assert(t, interval+takeover < bound, "%v of %v", interval, bound)
 	}
 }
 
-// A platform that answers is read more often than a time without answers counts as
-// an outage, in which entries that are gone are used on.
-func TestReadingsAreNoOutage(t *testing.T) {
-	const outage, again = 1500 * time.Millisecond, 200 * time.Millisecond
-	_, every := joiner.Bounds{DrainTimeout: time.Minute}.ReadIntervals()
-	assert.Assert(t, every+2*again < outage)
+// A platform that answers must be read more often than the time without an answer that
+// counts as an outage. Otherwise entries that are gone would be taken for lapsed and their
+// upstreams kept in use.
+func TestReadIntervalsAreShorterThanOutage(t *testing.T) {
+	const outageThreshold, retryDelay = 1500 * time.Millisecond, 200 * time.Millisecond
+	_, interval := joiner.Bounds{DrainTimeout: time.Minute}.ReadIntervals()
+	assert.Assert(t, interval+2*retryDelay < outageThreshold)
 }
