--- a/entry/process/gossiper/gossiper.go
+++ b/entry/process/gossiper/gossiper.go
@@ -50,7 +50,7 @@
 	relayDelay = rosterInterval + HeartbeatInterval
 	// forgetAfter is the silence after which an address is removed.
 	forgetAfter = 3 * time.Minute
-	// silentRetryInterval is how often messages are sent to a silent peer until then.
+	// silentRetryInterval is how often messages are sent to a silent peer until it is removed.
 	silentRetryInterval = 2 * time.Second
 	// startupPeriod is how long a new process counts all VMs that it knows by name as
 	// live, and assumes at least minAssumedVMs. Until it has received heartbeats from the
@@ -76,7 +76,7 @@
 	// PendingChanges returns the changes that are still to be sent; with ownOnly, only
 	// those that this VM made itself.
 	PendingChanges(ownOnly bool) [][]byte
-	// NextPart returns a part of the whole state, the next one at each call.
+	// NextPart returns the next portion of the whole state, in turn.
 	NextPart() [][]byte
 	// All returns all parts of the whole state.
 	All() [][]byte
