--- a/entry/process/budgeter/budgeter.go
+++ b/entry/process/budgeter/budgeter.go
@@ -1,16 +1,17 @@
-// Package budgeter keeps bounds that hold in sum over all VMs although each VM
-// decides alone: how many requests are sent once more, and how many reach an
-// upstream in cold start. It answers a group of upstreams that fails under many
-// VMs at once: without a common bound every VM adds its own repeats, and the
-// group gets a multiple of its load when it can bear least; and a cold engine
-// that each VM takes for idle gets as many first requests as there are VMs, and
-// falls over.
+// Package budgeter enforces limits on the whole fleet without coordination
+// between VMs: how many requests are retried, how many reach an upstream in cold
+// start, and how many idle connections are kept. Without a shared retry budget
+// each VM adds its own retries when a group of upstreams fails, and the group gets
+// a multiple of its load while it can serve least. Without a shared cold-start
+// limit every VM takes a cold engine for idle, and the engine crashes under as
+// many first requests as there are VMs.
 //
-// Each VM has a fixed part of the bound, by the number of VMs that live, and none of
-// what others may have used before it began. Where
-// a part would be under one, some VMs have one each and the others none, by a
-// hash of the upstream's and the VM's names, so that different upstreams are
-// open to different VMs. Nothing is lent and no message is on a request's path.
+// Each VM gets a fixed quota of a limit, computed from the number of live VMs,
+// and nothing of what other VMs may have used before it started. Where the quota
+// would be below one, some VMs get one unit and the others none, chosen by a hash
+// of the names of the upstream and the VM, so that different upstreams are
+// available to different VMs. VMs do not borrow quota from each other, and no
+// request waits for a message between VMs.
 package budgeter
 
 import (
@@ -22,41 +23,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Quota is how many of a bound's whole units one of the VMs may use. The VMs are
-// named in the same order on each of them.
-func Quota(bound float64, matter, vm string, vms []string) int {
+// Quota returns how many whole units of a limit on a resource one VM may use. All
+// VMs must pass the VM names in the same order.
+func Quota(limit float64, resource, vm string, vms []string) int {
 	n := max(1, len(vms))
-	each := int(bound) / n
-	// What division leaves goes to the VMs that rank first for this matter.
-	left := int(bound) - each*n
-	if left == 0 {
-		return each
+	quota := int(limit) / n
+	// The remainder goes to the VMs that rank first for this resource.
+	remainder := int(limit) - quota*n
+	if remainder == 0 {
+		return quota
 	}
-	mine := rank(matter, vm)
+	ownHash := hash(resource, vm)
 	before := 0
 	for _, other := range vms {
-		if other != vm && first(rank(matter, other), other, mine, vm) {
+		if other != vm && ranksBefore(hash(resource, other), other, ownHash, vm) {
 			before++
 		}
 	}
-	if before < left {
-		return each + 1
+	if before < remainder {
+		return quota + 1
 	}
-	return each
+	return quota
 }
 
-func rank(matter, vm string) uint64 {
-	return xxhash.Sum64String(matter + "\x00" + vm)
+// hash ranks the VMs differently for each resource.
+func hash(resource, vm string) uint64 {
+	return xxhash.Sum64String(resource + "\x00" + vm)
 }
 
-func first(a uint64, aName string, b uint64, bName string) bool {
+func ranksBefore(a uint64, aName string, b uint64, bName string) bool {
 	if a != b {
 		return a < b
 	}
 	return aName < bName
 }
 
-// A Window counts events over a sliding span of time.
+// A Window counts the events within a sliding window of time.
 type Window struct {
 	span  time.Duration
 	times []time.Time
@@ -65,7 +67,8 @@
 // NewWindow returns an empty Window.
 func NewWindow(span time.Duration) *Window { return &Window{span: span} }
 
-// Count is how many events the window ending now holds.
+// Count drops expired events and returns the number of events in the window that
+// ends now.
 func (w *Window) Count(now time.Time) int {
 	i := 0
 	for i < len(w.times) && now.Sub(w.times[i]) >= w.span {
@@ -75,161 +78,168 @@
 	return len(w.times)
 }
 
-// Add puts an event into the window.
+// Add records an event at now.
 func (w *Window) Add(now time.Time) {
 	w.Count(now)
 	w.times = append(w.times, now)
 }
 
-// A MemberHistory keeps which VMs lived over a span.
+// A MemberHistory records which VMs were live within the last span.
 type MemberHistory struct {
 	span time.Duration
-	// began is when this VM began; zero where no VM was there before.
-	began time.Time
-	lists []list
+	// startedAt is when this VM started; zero if no VM was running before.
+	startedAt   time.Time
+	memberships []membership
 }
 
-type list struct {
+// A membership is the list of live VMs from a point in time on.
+type membership struct {
 	since time.Time
 	vms   []string
 }
 
-// rejoin is by how much longer than a span a VM that has begun leaves bounds to the
-// others: these hear of it a moment later.
-const rejoin = 2 * time.Second
+// rejoinDelay is how much longer than the span a VM that has started uses no
+// quota: the other VMs learn of it a moment later.
+const rejoinDelay = 2 * time.Second
 
-// NewMemberHistory returns a History of a VM that has begun at a time, zero where no VM was
-// there before.
-func NewMemberHistory(span time.Duration, began time.Time) *MemberHistory {
-	return &MemberHistory{span: span, began: began}
+// NewMemberHistory returns the history of a VM that started at startedAt, which is
+// zero if no VM was running before.
+func NewMemberHistory(span time.Duration, startedAt time.Time) *MemberHistory {
+	return &MemberHistory{span: span, startedAt: startedAt}
 }
 
-// Record notes which VMs live, in order. It is called whenever that may have changed.
+// Record notes which VMs are live, in order. Call it whenever that may have
+// changed.
 func (h *MemberHistory) Record(now time.Time, vms []string) {
-	if len(h.lists) == 0 || !slices.Equal(h.lists[len(h.lists)-1].vms, vms) {
-		h.lists = append(h.lists, list{now, vms})
+	if len(h.memberships) == 0 || !slices.Equal(h.memberships[len(h.memberships)-1].vms, vms) {
+		h.memberships = append(h.memberships, membership{now, vms})
 	}
-	for len(h.lists) > 1 && now.Sub(h.lists[1].since) >= h.span {
-		h.lists = h.lists[1:]
+	for len(h.memberships) > 1 && now.Sub(h.memberships[1].since) >= h.span {
+		h.memberships = h.memberships[1:]
 	}
 }
 
-// Quota is how many of a bound's whole units a VM may use, where these count over the
-// span: the least of its parts in that time. A part that grows as others end was
-// theirs until then, and a VM that has just begun has none: it does not know what it
-// used before, and what the others had while it was away may be used up.
-func (h *MemberHistory) Quota(now time.Time, bound float64, matter, vm string) int {
-	if len(h.lists) == 0 || (!h.began.IsZero() && now.Sub(h.began) < h.span+rejoin) {
+// Quota returns how many whole units of a limit over the span a VM may use: its
+// smallest quota within that span. When the quota grows because other VMs have
+// ended, the added units belonged to those VMs until then. A VM that has just
+// started gets none: it does not know what it used before, and the units that the
+// other VMs had in its absence may be used up.
+func (h *MemberHistory) Quota(now time.Time, limit float64, resource, vm string) int {
+	if len(h.memberships) == 0 || (!h.startedAt.IsZero() && now.Sub(h.startedAt) < h.span+rejoinDelay) {
 		return 0
 	}
-	least := math.MaxInt
-	for i, l := range h.lists {
-		if i+1 < len(h.lists) && now.Sub(h.lists[i+1].since) >= h.span {
+	quota := math.MaxInt
+	for i, m := range h.memberships {
+		if i+1 < len(h.memberships) && now.Sub(h.memberships[i+1].since) >= h.span {
 			continue
 		}
-		least = min(least, Quota(bound, matter, vm, l.vms))
+		quota = min(quota, Quota(limit, resource, vm, m.vms))
 	}
-	return least
+	return quota
 }
 
-// RetryBudget bounds the requests of one service that are sent once more.
+// A RetryBudget limits the retries of the requests of one service.
 type RetryBudget struct {
-	// Ratio is how many repeats each request adds, Slack how many all VMs
-	// together have besides, in each span.
+	// Ratio is how many retries each request adds. Slack is how many retries all VMs
+	// together get in addition, per span.
 	Ratio, Slack float64
-	firsts       *Window
-	again        *Window
+	requests     *Window
+	retries      *Window
 }
 
-// NewRetryBudget returns a bound over sliding spans.
+// NewRetryBudget returns an empty budget over a sliding window of the given span.
 func NewRetryBudget(ratio, slack float64, span time.Duration) *RetryBudget {
-	return &RetryBudget{Ratio: ratio, Slack: slack, firsts: NewWindow(span), again: NewWindow(span)}
+	return &RetryBudget{Ratio: ratio, Slack: slack, requests: NewWindow(span), retries: NewWindow(span)}
 }
 
-// Sent counts a request's first sending.
-func (r *RetryBudget) Sent(now time.Time) { r.firsts.Add(now) }
+// Sent counts the first attempt of a request.
+func (r *RetryBudget) Sent(now time.Time) { r.requests.Add(now) }
 
-// TryRetry asks for one repeat, and counts it where it is granted.
+// TryRetry reports whether one retry is within the budget, and counts it if so.
 func (r *RetryBudget) TryRetry(now time.Time, vm string, h *MemberHistory) bool {
-	bound := r.Ratio*float64(r.firsts.Count(now)) + float64(h.Quota(now, r.Slack, "repeats", vm))
-	if float64(r.again.Count(now)+1) > bound {
+	limit := r.Ratio*float64(r.requests.Count(now)) + float64(h.Quota(now, r.Slack, "repeats", vm))
+	if float64(r.retries.Count(now)+1) > limit {
 		return false
 	}
-	r.again.Add(now)
+	r.retries.Add(now)
 	return true
 }
 
-// coldSpan is the span over which requests to a cold upstream are counted. It
-// is a second, by which operators state what such an upstream bears, and a
-// fifth more, because requests sent within one span arrive within a shorter one
-// when the first of them is delayed on its way.
-const coldSpan = 1200 * time.Millisecond
+// coldWindow is the window over which requests to a cold upstream are counted.
+// Operators state the capacity of a cold upstream per second. The window is a
+// fifth longer, because requests sent within one window arrive within a shorter
+// one when the first of them is delayed on its way.
+const coldWindow = 1200 * time.Millisecond
 
-// ColdLimiter bounds the requests sent to one upstream in cold start.
+// A ColdLimiter limits the requests sent to one upstream in cold start.
 type ColdLimiter struct {
 	sent *Window
 }
 
-// NewColdLimiter returns a bound for one upstream.
-func NewColdLimiter() *ColdLimiter { return &ColdLimiter{sent: NewWindow(coldSpan)} }
+// NewColdLimiter returns a ColdLimiter that has counted no requests.
+func NewColdLimiter() *ColdLimiter { return &ColdLimiter{sent: NewWindow(coldWindow)} }
 
-// Available is how many requests may be sent now of so many a second.
-func (c *ColdLimiter) Available(now time.Time, part int) int { return max(0, part-c.sent.Count(now)) }
+// Available returns how many requests may be sent now under a quota of requests per
+// second.
+func (c *ColdLimiter) Available(now time.Time, quota int) int { return max(0, quota-c.sent.Count(now)) }
 
-// Sent counts a request. It is counted for upstreams that are not cold as well,
-// because one may turn out to have been cold already.
+// Sent counts a request. Call it for upstreams that are not known to be cold as
+// well: one may turn out to have been cold already.
 func (c *ColdLimiter) Sent(now time.Time) { c.sent.Add(now) }
 
-// leastRate is the rate a second to which a limit is raised: without a request now
-// and then nobody would hear that an upstream takes more again.
-const leastRate = 0.25
+// minRate is the lowest rate per second that EffectiveRate returns. Without an
+// occasional request no VM would learn that the upstream accepts more again.
+const minRate = 0.25
 
-// burst is for how long a Rate saves up what was not sent, and holds one request at
-// least.
-const burst = 250 * time.Millisecond
+// burstWindow is how much unused time a RateLimiter accumulates tokens for. The
+// bucket has room for at least one request.
+const burstWindow = 250 * time.Millisecond
 
-// A RateLimiter spreads the requests to an upstream that has named a limit. What is left of
-// an earlier time is not made up for: the upstream is in need.
+// A RateLimiter is a token bucket that spaces the requests to an upstream that has
+// announced a rate limit. Unused capacity beyond the bucket is lost, because the
+// upstream is overloaded.
 type RateLimiter struct {
-	tokens float64
-	at     time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
-// NewRateLimiter returns a Rate that has saved up nothing: another VM may have sent until
-// now.
-func NewRateLimiter(now time.Time) *RateLimiter { return &RateLimiter{at: now} }
+// NewRateLimiter returns a RateLimiter with an empty bucket: another VM may have
+// sent requests until now.
+func NewRateLimiter(now time.Time) *RateLimiter { return &RateLimiter{updatedAt: now} }
 
-// Available is how many requests may be sent now, of so many a second.
+// Available refills the bucket at a rate of perSecond and returns how many requests
+// may be sent now.
 func (r *RateLimiter) Available(now time.Time, perSecond float64) int {
-	r.tokens += perSecond * now.Sub(r.at).Seconds()
-	r.tokens = min(r.tokens, max(1, perSecond*burst.Seconds()))
-	r.at = now
+	r.tokens += perSecond * now.Sub(r.updatedAt).Seconds()
+	r.tokens = min(r.tokens, max(1, perSecond*burstWindow.Seconds()))
+	r.updatedAt = now
 	return max(0, int(r.tokens))
 }
 
 // Sent counts a request.
 func (r *RateLimiter) Sent() { r.tokens-- }
 
-// EffectiveRate is the rate to which the requests of all VMs to an upstream are held that has
-// named one.
-func EffectiveRate(named float64) float64 { return max(named, leastRate) }
+// EffectiveRate returns the rate that all VMs together keep to for an upstream that
+// has announced the given rate limit.
+func EffectiveRate(rate float64) float64 { return max(rate, minRate) }
 
-// idleShare is the part of the connections that an upstream accepts from all VMs that
-// may be idle. The others are for requests: what exceeds them is reset.
-const idleShare = 0.5
+// maxIdleShare is the share of an upstream's connection limit that idle connections
+// may take. The rest is for requests: the upstream resets connections above its
+// limit.
+const maxIdleShare = 0.5
 
-// IdleConnections is how many idle connections a VM may keep to an upstream that accepts so many
-// from all, where it keeps no more than the usual number anyway.
+// IdleConnections returns how many idle connections a VM may keep to an upstream
+// that accepts the given number from all VMs, and at most usual.
 func IdleConnections(connections, usual int, upstream, vm string, vms []string) int {
-	bound := idleShare * float64(connections)
-	if bound >= float64(usual*len(vms)) {
+	limit := maxIdleShare * float64(connections)
+	if limit >= float64(usual*len(vms)) {
 		return usual
 	}
-	return min(usual, Quota(bound, "idle "+upstream, vm, vms))
+	return min(usual, Quota(limit, "idle "+upstream, vm, vms))
 }
 
-// AssumedVMs are names for VMs that are assumed to live while a process has not
-// yet heard of the others: n in all, this one included.
+// AssumedVMs returns the names of the n VMs that a process assumes to be live,
+// itself included, before it has heard from the others.
 func AssumedVMs(vm string, n int) []string {
 	vms := []string{vm}
 	for i := 1; i < n; i++ {
--- a/entry/process/budgeter/budgeter_test.go
+++ b/entry/process/budgeter/budgeter_test.go
@@ -21,27 +21,27 @@
 	return vms
 }
 
-// VMs that each take a rounded-up part of a bound send more than it in sum, and
-// a cold engine falls over under first requests that each VM took for its own.
-func TestPartsNeverExceedTheBound(t *testing.T) {
+// If each VM rounded its quota up, all VMs together would exceed the limit, and a
+// cold engine would crash under first requests that each VM counted as its own.
+func TestQuotasAddUpToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := names(rapid.IntRange(1, 400).Draw(t, "vms"))
-		bound := rapid.Float64Range(0, 500).Draw(t, "bound")
-		matter := rapid.String().Draw(t, "matter")
+		limit := rapid.Float64Range(0, 500).Draw(t, "limit")
+		resource := rapid.String().Draw(t, "resource")
 		sum := 0
 		for _, vm := range vms {
-			sum += budgeter.Quota(bound, matter, vm, vms)
+			sum += budgeter.Quota(limit, resource, vm, vms)
 		}
-		if sum != int(bound) {
-			t.Fatalf("%d VMs have %d of %v", len(vms), sum, bound)
+		if sum != int(limit) {
+			t.Fatalf("quotas of %d VMs add up to %d, limit %v", len(vms), sum, limit)
 		}
 	})
 }
 
-// With more VMs than the bound allows, an upstream in cold start must be open to
-// some VMs, and different ones to different VMs: else one VM gets all of the
+// With more VMs than units of the limit, each cold upstream must be available to
+// some VMs, and different upstreams to different VMs. Otherwise one VM gets all
 // cold engines and the others none.
-func TestSmallPartsSpreadOverVMs(t *testing.T) {
+func TestSmallQuotasSpreadOverVMs(t *testing.T) {
 	vms := names(90)
 	open := 0
 	for _, vm := range vms {
@@ -55,23 +55,23 @@
 	assert.Equal(t, open, len(vms))
 }
 
-// Requests that come at any times must never be sent on to a cold upstream
-// beyond its bound within any second, over all VMs together.
-func TestColdUpstreamGetsNoMoreThanItsBoundInAnySecond(t *testing.T) {
+// Whenever requests arrive, all VMs together must not send a cold upstream more
+// than its limit within any second.
+func TestColdUpstreamStaysWithinItsLimitInAnySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := names(rapid.IntRange(1, 12).Draw(t, "vms"))
-		bound := float64(rapid.IntRange(1, 60).Draw(t, "bound"))
-		colds := make([]*budgeter.ColdLimiter, len(vms))
-		for i := range colds {
-			colds[i] = budgeter.NewColdLimiter()
+		limit := float64(rapid.IntRange(1, 60).Draw(t, "limit"))
+		limiters := make([]*budgeter.ColdLimiter, len(vms))
+		for i := range limiters {
+			limiters[i] = budgeter.NewColdLimiter()
 		}
 		now := start
 		var sent []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "pause")) * time.Millisecond)
 			i := rapid.IntRange(0, len(vms)-1).Draw(t, "vm")
-			if colds[i].Available(now, budgeter.Quota(bound, "u", vms[i], vms)) > 0 {
-				colds[i].Sent(now)
+			if limiters[i].Available(now, budgeter.Quota(limit, "u", vms[i], vms)) > 0 {
+				limiters[i].Sent(now)
 				sent = append(sent, now)
 			}
 		}
@@ -82,16 +82,16 @@
 					n++
 				}
 			}
-			if n > int(bound) {
-				t.Fatalf("%d within a second, bound %v", n, bound)
+			if n > int(limit) {
+				t.Fatalf("%d requests within a second, limit %v", n, limit)
 			}
 		}
 	})
 }
 
-// A service that fails everything makes each VM repeat what it sent: without a
-// bound it gets twice its load when it can bear least.
-func TestRepeatsStayWithinTheBudgetInAnySpan(t *testing.T) {
+// When a service fails every request, each VM retries what it sent. Without a
+// budget the service gets twice its load while it can serve least.
+func TestRetriesStayWithinTheBudgetInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := names(rapid.IntRange(1, 9).Draw(t, "vms"))
 		slack := float64(rapid.IntRange(0, 40).Draw(t, "slack"))
@@ -102,26 +102,26 @@
 		now := start
 		live := budgeter.NewMemberHistory(span, time.Time{})
 		live.Record(now, vms)
-		var firsts, again []time.Time
+		var firsts, retried []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond)
 			i := rapid.IntRange(0, len(vms)-1).Draw(t, "vm")
 			budgets[i].Sent(now)
 			firsts = append(firsts, now)
 			if budgets[i].TryRetry(now, vms[i], live) {
-				again = append(again, now)
+				retried = append(retried, now)
 			}
 		}
-		for _, to := range again {
-			repeats, requests := within(again, to), within(firsts, to)+within(firsts, to.Add(-span))
-			if float64(repeats) > 0.2*float64(requests)+slack {
-				t.Fatalf("%d repeats for %d requests", repeats, requests)
+		for _, to := range retried {
+			retries, requests := within(retried, to), within(firsts, to)+within(firsts, to.Add(-span))
+			if float64(retries) > 0.2*float64(requests)+slack {
+				t.Fatalf("%d retries for %d requests", retries, requests)
 			}
 		}
 	})
 }
 
-// span is that of the budget of repeats.
+// span is the window of the retry budgets in these tests.
 const span = 10 * time.Second
 
 func within(times []time.Time, to time.Time) int {
@@ -134,10 +134,10 @@
 	return n
 }
 
-// A VM that starts again does not know what it has used, and one that joins adds its
-// part to what the others have used: a service that fails everything would get the
-// slack twice.
-func TestRepeatsStayWithinTheBudgetWhereVMsStartAgainAndJoin(t *testing.T) {
+// A VM that restarts does not know what it has used, and one that joins adds its
+// quota to what the others have used. A service that fails every request would get
+// the slack twice.
+func TestRetriesStayWithinTheBudgetWhenVMsRestartAndJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slack := float64(rapid.IntRange(0, 60).Draw(t, "slack"))
 		vms := names(rapid.IntRange(1, 9).Draw(t, "vms"))
@@ -149,11 +149,11 @@
 		for _, vm := range vms {
 			begin(vm, time.Time{})
 		}
-		var firsts, again []time.Time
+		var firsts, retried []time.Time
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
-				begin(rapid.SampledFrom(vms).Draw(t, "starts again"), now)
+				begin(rapid.SampledFrom(vms).Draw(t, "restarted"), now)
 			case 1:
 				vms = names(len(vms) + 1)
 				begin(vms[len(vms)-1], now)
@@ -171,22 +171,22 @@
 				budgets[vm].Sent(now)
 				firsts = append(firsts, now)
 				for budgets[vm].TryRetry(now, vm, live[vm]) {
-					again = append(again, now)
+					retried = append(retried, now)
 				}
 			}
 		}
-		for _, to := range again {
-			repeats, requests := within(again, to), within(firsts, to)+within(firsts, to.Add(-span))
-			if float64(repeats) > 0.2*float64(requests)+slack {
-				t.Fatalf("%d repeats for %d requests and a slack of %v", repeats, requests, slack)
+		for _, to := range retried {
+			retries, requests := within(retried, to), within(firsts, to)+within(firsts, to.Add(-span))
+			if float64(retries) > 0.2*float64(requests)+slack {
+				t.Fatalf("%d retries for %d requests, slack %v", retries, requests, slack)
 			}
 		}
 	})
 }
 
-// VMs that each keep a few idle connections would take all that a small service
-// accepts, and its requests are reset.
-func TestIdleConnectionsOfAllVMsLeaveRoomForRequests(t *testing.T) {
+// If each VM kept a few idle connections, they would take all connections that a
+// small service accepts, and requests would be reset.
+func TestIdleConnectionsLeaveRoomForRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := names(rapid.IntRange(1, 330).Draw(t, "vms"))
 		connections := rapid.IntRange(1, 1400).Draw(t, "connections")
@@ -195,7 +195,7 @@
 			sum += budgeter.IdleConnections(connections, 4, "u", vm, vms)
 		}
 		if sum > (connections+1)/2 {
-			t.Fatalf("%d VMs keep %d of %d", len(vms), sum, connections)
+			t.Fatalf("%d VMs keep %d idle connections of %d", len(vms), sum, connections)
 		}
 	})
 }
--- a/entry/process/budgeter/rate_test.go
+++ b/entry/process/budgeter/rate_test.go
@@ -9,9 +9,9 @@
 	"github.com/heathervane/heathervane/entry/process/budgeter"
 )
 
-// Requests that come at any times must not exceed what the upstream takes, however
-// long it had none before.
-func TestRateIsKeptInAnySpan(t *testing.T) {
+// Whenever requests arrive, they must not exceed the rate limit of the upstream,
+// however long it got none before.
+func TestRateLimiterKeepsTheRateInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.25, 50).Draw(t, "rate")
 		r := budgeter.NewRateLimiter(start)
@@ -34,15 +34,15 @@
 				}
 			}
 			if n > allowed {
-				t.Fatalf("%d in %v at %v a second", n, span, rate)
+				t.Fatalf("%d requests within %v at a rate of %v per second", n, span, rate)
 			}
 		}
 	})
 }
 
-// An upstream that takes nothing must be asked now and then: nobody else would hear
-// that it takes requests again.
-func TestUpstreamThatTakesNothingIsAskedNowAndThen(t *testing.T) {
+// An upstream with a rate limit of zero must still get an occasional request.
+// Otherwise no VM would learn that it accepts requests again.
+func TestUpstreamWithZeroRateGetsOccasionalRequests(t *testing.T) {
 	r := budgeter.NewRateLimiter(start)
 	n := 0
 	for i := range 60 {
@@ -52,6 +52,6 @@
 		}
 	}
 	if n < 10 || n > 16 {
-		t.Fatalf("%d in a minute", n)
+		t.Fatalf("%d requests within a minute", n)
 	}
 }
