--- a/entry/process/limiter/limiter_test.go
+++ b/entry/process/limiter/limiter_test.go
@@ -57,19 +57,20 @@
 	assert.Assert(t, !limiter.New(4, 4).Cold())
 }
 
-// An upstream turns cold without warning and falls over when it is given more
-// than it bears; it is warm after ten completed requests and reports so, late.
-// Its callers notice every fall, because each cuts all streams.
-func TestNeverMoreThanBorne(t *testing.T) {
+// An upstream turns cold without warning and crashes when it gets more requests
+// than its cold capacity. It is warm after ten completed requests and reports so
+// with a delay. A crash cuts all streams, so the limit must never exceed the cold
+// capacity before then.
+func TestLimitNeverExceedsColdCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const bears, warmAfter = 2, 10
-		l := limiter.New(32, bears)
+		const coldSlots, warmAfter = 2, 10
+		l := limiter.New(32, coldSlots)
 		boot, done := uint64(1), 0
 		type report struct {
 			boot uint64
 			cold bool
 		}
-		late := report{boot, true}
+		delayed := report{boot, true}
 		l.Reported(boot, true)
 		t.Repeat(map[string]func(*rapid.T){
 			"complete": func(*rapid.T) {
@@ -77,8 +78,8 @@
 				done += l.Limit()
 			},
 			"report": func(*rapid.T) {
-				l.Reported(late.boot, late.cold)
-				late = report{boot, done < warmAfter}
+				l.Reported(delayed.boot, delayed.cold)
+				delayed = report{boot, done < warmAfter}
 			},
 			"turn": func(*rapid.T) {
 				boot++
@@ -86,8 +87,8 @@
 				l.TurnedCold(boot)
 			},
 			"": func(t *rapid.T) {
-				if done < warmAfter && l.Limit() > bears {
-					t.Fatalf("limit %d after %d completions", l.Limit(), done)
+				if done < warmAfter && l.Limit() > coldSlots {
+					t.Fatalf("limit %d after %d completed requests", l.Limit(), done)
 				}
 			},
 		})
