--- a/entry/process/scheduler/bench_test.go
+++ b/entry/process/scheduler/bench_test.go
@@ -8,21 +8,21 @@
 	"github.com/heathervane/heathervane/entry/process/scheduler"
 )
 
-// BenchmarkPump is one look at what waits, after a change, while a hundred short
-// prompts wait that none of 39 engines can begin in time.
-func BenchmarkPump(b *testing.B) {
-	const engines, waiting = 39, 100
+// BenchmarkDispatch measures one dispatch after a change, with a hundred short
+// prompts queued that none of 39 engines can start in time.
+func BenchmarkDispatch(b *testing.B) {
+	const engines, queued = 39, 100
 	f := newFleet(engines)
 	for i := range engines {
 		f.Adopt(scheduler.Workload{Prompt: 100_000, Prefill: 2000, Long: true, Main: "u" + strconv.Itoa(i)}, false)
 	}
-	for range waiting {
-		c := f.call(1000, 100*time.Second)
+	for range queued {
+		c := f.request(1000, 100*time.Second)
 		c.Requirements.Objective = f.now.Add(time.Second)
-		f.ask(c)
+		f.submit(c)
 	}
-	if f.QueueLength() != waiting {
-		b.Fatalf("%d wait", f.QueueLength())
+	if f.QueueLength() != queued {
+		b.Fatalf("%d requests queued", f.QueueLength())
 	}
 	for b.Loop() {
 		f.now = f.now.Add(50 * time.Microsecond)
--- a/entry/process/scheduler/grant.go
+++ b/entry/process/scheduler/grant.go
@@ -7,157 +7,157 @@
 	"github.com/heathervane/heathervane/entry/request/placer"
 )
 
-// A Helper is an upstream that reads a part of a prompt.
+// A Helper is an upstream that prefills a part of a prompt.
 type Helper struct {
 	tracker.Upstream
-	// ReservedTokens is the memory to be set aside there; 0 for none.
+	// ReservedTokens is the memory to reserve there; 0 for none.
 	ReservedTokens int
 }
 
-// A Grant is a place at an upstream, and at those that help to read.
+// A Grant is a slot at an upstream, and at those that help to prefill the prompt.
 type Grant struct {
 	Upstream tracker.State
 	Helpers  []Helper
-	// Estimate is the estimated time to the first event in milliseconds, and
-	// Load the work at the upstream when it was chosen.
+	// Estimate is the estimated time to the first event in milliseconds, and Load
+	// the load of the upstream when it was chosen.
 	Estimate float64
 	Load     placer.Load
-	// WaitTimes is how long it was waited for, and why.
+	// WaitTimes is how long the request was queued, by reason.
 	WaitTimes WaitTimes
 
-	// Workload is what the place takes, as another Scheduler has to know it.
+	// Workload is the load of the grant, as another Scheduler needs it for Adopt.
 	Workload Workload
 
 	scheduler *Scheduler
-	shares    []share
+	loads     []upstreamLoad
 	started   bool
 	ended     bool
 }
 
-// A Workload is what a request brings to the upstreams of its place.
+// A Workload is the load that a request adds to the upstreams of its grant.
 type Workload struct {
 	Prompt, Output int
-	// MaxPause is the longest pause between events in milliseconds that its caller
-	// bears, and Prefill each upstream's reading time in milliseconds.
+	// MaxPause is the longest pause between events that the caller tolerates, and
+	// Prefill the prefill time at each upstream, both in milliseconds.
 	MaxPause, Prefill float64
-	// Long says that it is read in parts.
+	// Long is set if the prompt is prefilled in parts.
 	Long bool
-	// Main and Helpers are the upstreams, Tokens the memory set aside at each of
-	// the helpers.
+	// Main and Helpers are the upstreams, and ReservedTokens the memory reserved
+	// at each helper.
 	Main           string
 	Helpers        []string
 	ReservedTokens []int
 }
 
-// A share is the work that a request brings to one upstream.
-type share struct {
+// An upstreamLoad is the load that a request adds to one upstream.
+type upstreamLoad struct {
 	id string
-	// unread ends with the first token, held with the request.
-	unread, held placer.Load
+	// untilStart lasts until the first token, untilEnd until the request ends.
+	untilStart, untilEnd placer.Load
 }
 
-// shares are what a work brings to each upstream.
-func (w Workload) shares() []share {
+// perUpstream returns the load at each upstream.
+func (w Workload) perUpstream() []upstreamLoad {
 	context := w.Prompt + w.Output
 	for _, n := range w.ReservedTokens {
 		context -= n
 	}
-	part := placer.Load{Unread: w.Prefill}
+	perPart := placer.Load{Unread: w.Prefill}
 	if w.Long {
-		part.Parts = 1
+		perPart.Parts = 1
 	}
-	first := part
-	first.Starting = 1
-	stake := placer.Ask{Prompt: w.Prompt, Pause: w.MaxPause}.Stake()
-	all := []share{{w.Main, first, placer.Load{Streams: 1, Context: max(0, context), Stakes: stake}}}
+	main := perPart
+	main.Starting = 1
+	stakes := placer.Ask{Prompt: w.Prompt, Pause: w.MaxPause}.Stake()
+	all := []upstreamLoad{{w.Main, main, placer.Load{Streams: 1, Context: max(0, context), Stakes: stakes}}}
 	for i, id := range w.Helpers {
-		held := placer.Load{}
+		untilEnd := placer.Load{}
 		if i < len(w.ReservedTokens) {
-			held.Context = w.ReservedTokens[i]
+			untilEnd.Context = w.ReservedTokens[i]
 		}
-		all = append(all, share{id, part, held})
+		all = append(all, upstreamLoad{id, perPart, untilEnd})
 	}
 	return all
 }
 
-// grant takes the chosen places. The caller holds the lock.
+// grant takes the chosen slots. The caller holds the lock.
 func (s *Scheduler) grant(now time.Time, w *waiter, c placer.Choice, states []tracker.State) *Grant {
 	main := states[c.Main]
 	g := &Grant{Upstream: main, Estimate: c.First, scheduler: s}
-	if l, ok := s.work[main.ID]; ok {
+	if l, ok := s.loads[main.ID]; ok {
 		g.Load = *l
 	}
-	aside := make(map[int]int)
+	reserved := make(map[int]int)
 	for _, t := range c.Tickets {
-		aside[t.Candidate] = t.Tokens
+		reserved[t.Candidate] = t.Tokens
 	}
 	g.Workload = Workload{
-		Prompt: w.call.Requirements.Prompt, Output: w.call.Requirements.Output, MaxPause: w.call.Requirements.Pause,
-		Prefill: c.Read, Long: w.times.long, Main: main.ID,
+		Prompt: w.request.Requirements.Prompt, Output: w.request.Requirements.Output, MaxPause: w.request.Requirements.Pause,
+		Prefill: c.Read, Long: w.timing.long, Main: main.ID,
 	}
 	for _, i := range c.Helpers {
-		g.Helpers = append(g.Helpers, Helper{states[i].Upstream, aside[i]})
+		g.Helpers = append(g.Helpers, Helper{states[i].Upstream, reserved[i]})
 		g.Workload.Helpers = append(g.Workload.Helpers, states[i].ID)
-		g.Workload.ReservedTokens = append(g.Workload.ReservedTokens, aside[i])
+		g.Workload.ReservedTokens = append(g.Workload.ReservedTokens, reserved[i])
 	}
-	g.take()
-	s.coldOf(main.ID).Sent(now)
-	s.note(&main)
-	s.rankerOf(w.call.Service.Name).Note(now, w.call.Team, oneShare, max(1, w.call.Requirements.Prompt+w.call.Requirements.Output))
+	g.reserve()
+	s.coldLimiter(main.ID).Sent(now)
+	s.countSent(&main)
+	s.ranker(w.request.Service.Name).Note(now, w.request.Team, teamShare, max(1, w.request.Requirements.Prompt+w.request.Requirements.Output))
 	return g
 }
 
-// take counts the work of a place.
-func (g *Grant) take() {
-	g.shares = g.Workload.shares()
-	for _, h := range g.shares {
-		g.scheduler.add(h.id, h.unread, 1)
-		g.scheduler.add(h.id, h.held, 1)
+// reserve adds the load of the grant to its upstreams.
+func (g *Grant) reserve() {
+	g.loads = g.Workload.perUpstream()
+	for _, h := range g.loads {
+		g.scheduler.addLoad(h.id, h.untilStart, 1)
+		g.scheduler.addLoad(h.id, h.untilEnd, 1)
 	}
 }
 
-// Adopt counts a place that another Scheduler has given. Without it whoever
-// begins to schedule for a group would take its upstreams for idle.
-func (s *Scheduler) Adopt(w Workload, began bool) *Grant {
+// Adopt counts a grant of another Scheduler. Without it a VM that starts to
+// schedule for a group would take the group's upstreams for idle.
+func (s *Scheduler) Adopt(w Workload, started bool) *Grant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := &Grant{Workload: w, scheduler: s}
-	g.take()
-	if began {
-		g.began()
+	g.reserve()
+	if started {
+		g.markStarted()
 	}
 	return g
 }
 
-// MarkStarted notes that the first token came: all parts have been read.
+// MarkStarted records that the first token has arrived: the prefill is complete.
 func (g *Grant) MarkStarted() {
-	g.scheduler.locked(func() {
-		g.began()
-		g.scheduler.pump()
+	g.scheduler.withLock(func() {
+		g.markStarted()
+		g.scheduler.dispatch()
 	})
 }
 
-func (g *Grant) began() {
+func (g *Grant) markStarted() {
 	if g.started {
 		return
 	}
 	g.started = true
-	for _, h := range g.shares {
-		g.scheduler.add(h.id, h.unread, -1)
+	for _, h := range g.loads {
+		g.scheduler.addLoad(h.id, h.untilStart, -1)
 	}
 }
 
-// Release gives the places back. It may be called more than once.
+// Release returns the slots. It may be called more than once.
 func (g *Grant) Release() {
-	g.scheduler.locked(func() {
+	g.scheduler.withLock(func() {
 		if g.ended {
 			return
 		}
-		g.ended, g.scheduler.freed = true, true
-		g.began()
-		for _, h := range g.shares {
-			g.scheduler.add(h.id, h.held, -1)
+		g.ended, g.scheduler.capacityFreed = true, true
+		g.markStarted()
+		for _, h := range g.loads {
+			g.scheduler.addLoad(h.id, h.untilEnd, -1)
 		}
-		g.scheduler.pump()
+		g.scheduler.dispatch()
 	})
 }
--- a/entry/process/scheduler/limit.go
+++ b/entry/process/scheduler/limit.go
@@ -8,94 +8,97 @@
 	"github.com/heathervane/heathervane/entry/process/tracker"
 )
 
-// CodeLimited is the code of a request for a service whose upstreams have all named a
-// limit, and all that they take in time is taken.
+// CodeLimited refuses a request for a service whose upstreams have all announced a
+// rate limit, when earlier requests use up what they accept in time.
 const CodeLimited = "limited"
 
 const (
-	// limitPatience is how long after its arrival a request may wait at least for
-	// what the limits leave. Beyond that those that come later are served in time,
-	// and the earlier ones no longer.
-	limitPatience = time.Second
-	// mostBack bounds when a request may come back that the limits leave nothing.
-	mostBack = 10 * time.Second
+	// minRateWait is the time after its arrival for which a request may wait for
+	// capacity under the rate limits, even if its latest start is earlier. Beyond
+	// that, requests that arrive later are served in time and earlier ones no
+	// longer.
+	minRateWait = time.Second
+	// maxRetryAfter caps RetryAfter for requests that exceed the rate limits.
+	maxRetryAfter = 10 * time.Second
 )
 
-// room is how many requests may be placed at an upstream that has named a limit.
-func (s *Scheduler) room(now time.Time, u *tracker.State) int {
-	r, ok := s.limits[u.ID]
+// availableAt returns how many requests may be placed now at an upstream that has
+// announced a rate limit.
+func (s *Scheduler) availableAt(now time.Time, u *tracker.State) int {
+	r, ok := s.rateLimiters[u.ID]
 	if !ok {
 		r = budgeter.NewRateLimiter(now)
-		s.limits[u.ID] = r
+		s.rateLimiters[u.ID] = r
 	}
 	return r.Available(now, s.deps.RateQuota(u.Limit.Rate))
 }
 
-// note counts a request placed at an upstream that has named a limit.
-func (s *Scheduler) note(u *tracker.State) {
-	if r, ok := s.limits[u.ID]; ok && u.Limit.Limited {
+// countSent counts a request placed at an upstream that has announced a rate limit.
+func (s *Scheduler) countSent(u *tracker.State) {
+	if r, ok := s.rateLimiters[u.ID]; ok && u.Limit.Limited {
 		r.Sent()
 	}
 }
 
-// A supply is what the limits of a service's upstreams leave, where all have named
-// one: how many requests may be placed now, and how many a second.
-type supply struct {
-	now  int
-	rate float64
-	// taken are the requests of this scan that come before.
-	taken int
+// A rateCapacity is what the rate limits leave of a service whose upstreams have all
+// announced one: how many requests may be placed now, and how many per second.
+type rateCapacity struct {
+	available int
+	rate      float64
+	// reserved is the number of earlier requests of this pass.
+	reserved int
 }
 
-// supplyOf is nil where an upstream has named no limit.
-func (s *Scheduler) supplyOf(now time.Time, states []tracker.State) *supply {
+// newRateCapacity returns nil if an upstream has announced no rate limit.
+func (s *Scheduler) newRateCapacity(now time.Time, states []tracker.State) *rateCapacity {
 	if len(states) == 0 {
 		return nil
 	}
-	p := &supply{}
+	c := &rateCapacity{}
 	for i := range states {
 		if !states[i].Limit.Limited {
 			return nil
 		}
-		p.now += s.room(now, &states[i])
-		p.rate += s.deps.RateQuota(states[i].Limit.Rate)
+		c.available += s.availableAt(now, &states[i])
+		c.rate += s.deps.RateQuota(states[i].Limit.Rate)
 	}
-	return p
+	return c
 }
 
-// next is how long the next request waits for its turn.
-func (p *supply) next() time.Duration {
-	ahead := p.taken - p.now
-	p.taken++
+// reserve reserves capacity for the next request and returns how long it must wait.
+func (c *rateCapacity) reserve() time.Duration {
+	ahead := c.reserved - c.available
+	c.reserved++
 	if ahead < 0 {
 		return 0
 	}
-	wait := float64(ahead+1) / p.rate
+	wait := float64(ahead+1) / c.rate
 	return time.Duration(min(wait, math.MaxInt32) * float64(time.Second))
 }
 
-// beyond says that a request comes too late in the order of those that wait for the
-// limits of all upstreams of its service, and when it had better come back. Requests
-// over what upstreams in need take would else wait until their callers leave.
-func (l scan) beyond(s *Scheduler, now time.Time, w *waiter) (after time.Duration, is bool) {
-	name := w.call.Service.Name
-	p, ok := l.supplies[name]
+// exceedsLimits reports whether too many requests are queued ahead of a request for
+// the rate limits of all upstreams of its service, and if so after what time to
+// retry. Otherwise requests above what overloaded upstreams accept would wait until
+// their callers disconnect.
+func (p dispatchPass) exceedsLimits(s *Scheduler, now time.Time, w *waiter) (retryAfter time.Duration, exceeds bool) {
+	service := w.request.Service.Name
+	c, ok := p.capacities[service]
 	if !ok {
-		p = s.supplyOf(now, l.states(s, now, name))
-		l.supplies[name] = p
+		c = s.newRateCapacity(now, p.usableUpstreams(s, now, service))
+		p.capacities[service] = c
 	}
-	if p == nil {
+	if c == nil {
 		return 0, false
 	}
-	wait := p.next()
-	last := w.call.Requirements.Arrived.Add(limitPatience)
-	if w.times.start.After(last) {
-		last = w.times.start
+	wait := c.reserve()
+	latest := w.request.Requirements.Arrived.Add(minRateWait)
+	if w.timing.latestStart.After(latest) {
+		latest = w.timing.latestStart
 	}
-	if wait == 0 || !now.Add(wait).After(last) {
+	if wait == 0 || !now.Add(wait).After(latest) {
 		return 0, false
 	}
-	// One that does not wait holds nobody up.
-	p.taken--
-	return min(mostBack, max(comeBack, wait)), true
+	// A request that is refused delays no other.
+	c.reserved--
+	return min(maxRetryAfter, max(defaultRetryAfter, wait)), true
 }
--- a/entry/process/scheduler/overload_test.go
+++ b/entry/process/scheduler/overload_test.go
@@ -11,98 +11,98 @@
 	"github.com/heathervane/heathervane/entry/request/placer"
 )
 
-// A play is a group's scheduler before its engines, and a clock.
-type play struct {
+// A simulation runs a group's scheduler and its engines on a simulated clock.
+type simulation struct {
 	*fleet
 	pending []*arrival
 	running []*arrival
 }
 
-// An arrival is one request, and what became of it.
+// An arrival is one request and its outcome.
 type arrival struct {
-	at      time.Time
-	out     chan outcome
-	outcome outcome
-	ends    time.Time
+	arrivedAt time.Time
+	out       chan outcome
+	outcome   outcome
+	endsAt    time.Time
 }
 
-// step lets a moment pass: what has run for so long ends, and places that are
-// free are given.
-func (p *play) step(passed, lasts time.Duration) {
-	p.now = p.now.Add(passed)
-	var still []*arrival
-	for _, a := range p.running {
-		if p.now.Before(a.ends) {
-			still = append(still, a)
+// advance moves the clock: requests that have run for duration end, and queued
+// ones take the freed slots.
+func (s *simulation) advance(elapsed, duration time.Duration) {
+	s.now = s.now.Add(elapsed)
+	var remaining []*arrival
+	for _, a := range s.running {
+		if s.now.Before(a.endsAt) {
+			remaining = append(remaining, a)
 			continue
 		}
 		a.outcome.grant.Release()
 	}
-	p.running = still
-	p.Dispatch()
-	p.collect(lasts)
+	s.running = remaining
+	s.Dispatch()
+	s.collect(duration)
 }
 
-// collect takes the answers that have come.
-func (p *play) collect(lasts time.Duration) {
-	var still []*arrival
-	for _, a := range p.pending {
+// collect starts the requests that were placed and drops those that were refused.
+func (s *simulation) collect(duration time.Duration) {
+	var remaining []*arrival
+	for _, a := range s.pending {
 		select {
 		case a.outcome = <-a.out:
 			if a.outcome.grant != nil {
 				a.outcome.grant.MarkStarted()
-				a.ends = p.now.Add(lasts)
-				p.running = append(p.running, a)
+				a.endsAt = s.now.Add(duration)
+				s.running = append(s.running, a)
 			}
 		default:
-			still = append(still, a)
+			remaining = append(remaining, a)
 		}
 	}
-	p.pending = still
+	s.pending = remaining
 }
 
-// In a burst slightly more short prompts come than the engines bear. Were each
-// slot given to whoever has waited longest, the wait would grow until every
-// answer is late; so most are in time, and few are late.
-func TestOverloadMakesFewLate(t *testing.T) {
+// In a burst slightly more short prompts arrive than the engines can handle. If
+// each slot went to the request that has waited longest, the wait would grow until
+// every answer is late. Most must be in time, and few late.
+func TestMostRequestsStartInTimeUnderSlightOverload(t *testing.T) {
 	const (
 		engines = 16
-		// slots are those of an engine of newPlay.
+		// slots is the number of slots per engine of newFleet.
 		slots     = 2
-		lasts     = 2 * time.Second
-		rate      = 1.06 * engines * slots / 2 // requests a second; what fits, and a little more
+		duration  = 2 * time.Second
+		rate      = 1.06 * engines * slots / 2 // requests per second; 6% above capacity
 		step      = 5 * time.Millisecond
 		burst     = 15 * time.Second
 		objective = 300 * time.Millisecond
-		// first is about what an engine takes to the first event.
-		first = 130 * time.Millisecond
+		// firstEvent is roughly the time that an engine takes to the first event.
+		firstEvent = 130 * time.Millisecond
 	)
-	p := &play{fleet: newFleet(engines)}
-	draw := rand.New(rand.NewPCG(7, 7))
-	service := newFleet(0).call(5000, time.Second).Service
+	s := &simulation{fleet: newFleet(engines)}
+	random := rand.New(rand.NewPCG(7, 7))
+	service := newFleet(0).request(5000, time.Second).Service
 	var all []*arrival
-	for passed := time.Duration(0); passed < burst; passed += step {
-		p.step(step, lasts)
-		if draw.Float64() > rate*step.Seconds() {
+	for elapsed := time.Duration(0); elapsed < burst; elapsed += step {
+		s.advance(step, duration)
+		if random.Float64() > rate*step.Seconds() {
 			continue
 		}
-		a := &arrival{at: p.now}
+		a := &arrival{arrivedAt: s.now}
 		c := scheduler.Request{Service: service, Requirements: placer.Ask{
-			Prompt: 5000, Output: 3400, Pause: 250, Arrived: p.now, Objective: p.now.Add(objective),
-			Leaves: p.now.Add(2 * time.Second), Deadline: p.now.Add(10 * time.Second),
+			Prompt: 5000, Output: 3400, Pause: 250, Arrived: s.now, Objective: s.now.Add(objective),
+			Leaves: s.now.Add(2 * time.Second), Deadline: s.now.Add(10 * time.Second),
 		}}
-		a.out = p.ask(c)
+		a.out = s.submit(c)
 		all = append(all, a)
-		p.pending = append(p.pending, a)
+		s.pending = append(s.pending, a)
 	}
 	inTime := 0
 	for _, a := range all {
-		if !a.ends.IsZero() && a.ends.Sub(a.at) < lasts+objective-first {
+		if !a.endsAt.IsZero() && a.endsAt.Sub(a.arrivedAt) < duration+objective-firstEvent {
 			inTime++
 		}
 	}
-	// The slots are free at first, and then each once in so long.
-	fit := int(float64(engines*slots) * float64(burst) / float64(lasts))
-	assert.Assert(t, len(all) > fit, "no overload")
-	assert.Assert(t, inTime*100 >= 85*fit, "%d of %d began in time, %d fit", inTime, len(all), fit)
+	// All slots are free at first, and each becomes free once per duration.
+	capacity := int(float64(engines*slots) * float64(burst) / float64(duration))
+	assert.Assert(t, len(all) > capacity, "no overload")
+	assert.Assert(t, inTime*100 >= 85*capacity, "%d of %d requests started in time, capacity %d", inTime, len(all), capacity)
 }
--- a/entry/process/scheduler/queue.go
+++ b/entry/process/scheduler/queue.go
@@ -10,39 +10,39 @@
 	"github.com/heathervane/heathervane/entry/request/ranker"
 )
 
-// unbounded is the room at an upstream that is not cold.
-const unbounded = 1 << 20
-
-// compare orders by rank, then those that can be in time before those that are
-// late already, then teams within their share before those over it, then by the
-// latest start. Without the second, a backlog of late prompts would stand before
-// everything that could still be in time, and make it late as well; without the
-// third, one team's burst stands before the others' questions.
-func compare(a, b *waiter) int {
+// unlimitedRoom is the room at an upstream that is neither cold nor rate limited.
+const unlimitedRoom = 1 << 20
+
+// compareWaiters orders by priority, then requests that can still be in time before
+// late ones, then teams within their share before teams over it, then by latest
+// start. Without the second criterion a backlog of late prompts would go before
+// every request that can still be in time, and make it late as well. Without the
+// third, one team's burst would go before the other teams' short prompts.
+func compareWaiters(a, b *waiter) int {
 	return cmp.Or(
-		cmp.Compare(a.call.Priority, b.call.Priority), cmp.Compare(a.late, b.late), cmp.Compare(a.over, b.over),
-		a.times.start.Compare(b.times.start),
+		cmp.Compare(a.request.Priority, b.request.Priority), cmp.Compare(a.late, b.late), cmp.Compare(a.overShare, b.overShare),
+		a.timing.latestStart.Compare(b.timing.latestStart),
 	)
 }
 
-// sort puts what waits in its order.
-func (s *Scheduler) sort(now time.Time) {
-	for _, w := range s.waiting {
-		w.late, w.over = 0, 0
-		if w.times.late(now) {
+// sortQueue updates the sort keys of the queued requests and sorts the queue.
+func (s *Scheduler) sortQueue(now time.Time) {
+	for _, w := range s.queue {
+		w.late, w.overShare = 0, 0
+		if w.timing.late(now) {
 			w.late = 1
 		}
-		if s.rankerOf(w.call.Service.Name).Over(now, w.call.Team) {
-			w.over = 1
+		if s.ranker(w.request.Service.Name).Over(now, w.request.Team) {
+			w.overShare = 1
 		}
 	}
-	slices.SortStableFunc(s.waiting, compare)
+	slices.SortStableFunc(s.queue, compareWaiters)
 }
 
-// oneShare is every team's share: the platform's configuration names none.
-const oneShare = 1
+// teamShare is the share of every team: the configuration does not set shares.
+const teamShare = 1
 
-func (s *Scheduler) rankerOf(service string) *ranker.Ranker {
+func (s *Scheduler) ranker(service string) *ranker.Ranker {
 	r, ok := s.rankers[service]
 	if !ok {
 		r = ranker.New()
@@ -51,107 +51,111 @@
 	return r
 }
 
-// Dispatch places what can be placed and refuses what cannot be done in time. It is
-// called when something changed, and now and then.
+// Dispatch places every queued request that can be placed and refuses those that
+// can no longer be completed in time. Call it when something has changed, and
+// periodically.
 func (s *Scheduler) Dispatch() {
-	s.locked(func() {
-		s.freed = true
-		s.pump()
+	s.withLock(func() {
+		s.capacityFreed = true
+		s.dispatch()
 	})
 }
 
-func (s *Scheduler) pump() {
-	if len(s.waiting) == 0 {
+// dispatch makes one pass over the queue. The caller holds the lock.
+func (s *Scheduler) dispatch() {
+	if len(s.queue) == 0 {
 		return
 	}
 	now := s.deps.Now()
-	l := scan{blocked: make(map[kind]bool), usable: make(map[string][]tracker.State), supplies: make(map[string]*supply)}
-	s.sort(now)
-	kept := s.waiting[:0:0]
-	for _, w := range s.waiting {
-		if r, done := s.step(now, w, l); done {
+	p := dispatchPass{blocked: make(map[class]bool), usable: make(map[string][]tracker.State), capacities: make(map[string]*rateCapacity)}
+	s.sortQueue(now)
+	remaining := s.queue[:0:0]
+	for _, w := range s.queue {
+		if r, done := s.tryPlace(now, w, p); done {
 			r.waiter = w
 			s.replies = append(s.replies, r)
 			continue
 		}
-		kept = append(kept, w)
+		remaining = append(remaining, w)
 	}
-	s.waiting, s.freed = kept, false
+	s.queue, s.capacityFreed = remaining, false
 }
 
-// A kind is what waits for the same places, so that none of it is placed before
-// an earlier one. Long prompts are of a kind only with those of about their
-// length: one of 600,000 tokens that finds no place must not hold back one of
-// 20,000. Short ones that are late are of a kind of their own: an engine that
-// reads for long answers none in time, and is still free for these, which would
-// else wait behind each new prompt until their callers leave.
-type kind struct {
-	service string
-	size    int
-	late    bool
+// A class identifies requests that compete for the same slots, so that none of them
+// is placed before an earlier one. Long prompts share a class only with prompts of
+// similar length: one of 600,000 tokens that cannot be placed must not hold back
+// one of 20,000. Short prompts that are late form a class of their own: an engine
+// with a long prefill answers no prompt in time but still has slots for these, which
+// would otherwise wait behind each new prompt until their callers disconnect.
+type class struct {
+	service   string
+	sizeClass int
+	late      bool
 }
 
-// A scan is one pass over all that waits: what is held back, and the upstreams of each
-// service, which do not change meanwhile.
-type scan struct {
-	blocked map[kind]bool
+// A dispatchPass holds the state of one pass over the queue: the blocked classes,
+// and the usable upstreams of each service, which do not change during the pass.
+type dispatchPass struct {
+	blocked map[class]bool
 	usable  map[string][]tracker.State
-	// supplies are what the limits leave of services whose upstreams have all named one.
-	supplies map[string]*supply
+	// capacities is what the rate limits leave of each service, nil if one of its
+	// upstreams has announced none.
+	capacities map[string]*rateCapacity
 }
 
-func (l scan) states(s *Scheduler, now time.Time, service string) []tracker.State {
-	states, ok := l.usable[service]
+func (p dispatchPass) usableUpstreams(s *Scheduler, now time.Time, service string) []tracker.State {
+	states, ok := p.usable[service]
 	if !ok {
 		states = s.usable(now, service)
-		l.usable[service] = states
+		p.usable[service] = states
 	}
 	return states
 }
 
-// step does what can be done for one waiting request.
-func (s *Scheduler) step(now time.Time, w *waiter, l scan) (reply, bool) {
-	k := kind{w.call.Service.Name, w.times.size, !w.times.long && w.times.late(now)}
-	if w.times.hopeless(now, w.call.StopsAt) {
-		return reply{refusal: &Refusal{Code: CodeLate, RetryAfter: comeBack, WaitTimes: w.waits.end(now)}}, true
+// tryPlace places or refuses one queued request if possible, and reports whether it
+// did. Otherwise the request stays queued.
+func (s *Scheduler) tryPlace(now time.Time, w *waiter, p dispatchPass) (reply, bool) {
+	c := class{w.request.Service.Name, w.timing.sizeClass, !w.timing.long && w.timing.late(now)}
+	if w.timing.cannotFinish(now, w.request.StopsAt) {
+		return reply{refusal: &Refusal{Code: CodeLate, RetryAfter: defaultRetryAfter, WaitTimes: w.wait.stop(now)}}, true
 	}
-	if now.Before(s.holds) {
-		w.waits.turn(now, waitSync)
+	if now.Before(s.pausedUntil) {
+		w.wait.switchTo(now, waitSync)
 		return reply{}, false
 	}
-	if after, is := l.beyond(s, now, w); is {
-		return reply{refusal: &Refusal{Code: CodeLimited, RetryAfter: after, WaitTimes: w.waits.end(now)}}, true
+	if retryAfter, exceeds := p.exceedsLimits(s, now, w); exceeds {
+		return reply{refusal: &Refusal{Code: CodeLimited, RetryAfter: retryAfter, WaitTimes: w.wait.stop(now)}}, true
 	}
-	if l.blocked[k] {
-		w.waits.turn(now, waitBehind)
+	if p.blocked[c] {
+		w.wait.switchTo(now, waitBlocked)
 		return reply{}, false
 	}
-	if freed := s.freed && w.holds && !w.times.long; now.Before(w.next) && !freed {
-		l.blocked[k] = w.holds
+	if freed := s.capacityFreed && w.blocks && !w.timing.long; now.Before(w.retryAt) && !freed {
+		p.blocked[c] = w.blocks
 		return reply{}, false
 	}
-	states := l.states(s, now, w.call.Service.Name)
+	states := p.usableUpstreams(s, now, w.request.Service.Name)
 	if len(states) == 0 && !s.deps.Tracker.Outdated() {
-		return reply{refusal: &Refusal{Code: CodeNoUpstream, RetryAfter: comeBack, WaitTimes: w.waits.end(now)}}, true
+		return reply{refusal: &Refusal{Code: CodeNoUpstream, RetryAfter: defaultRetryAfter, WaitTimes: w.wait.stop(now)}}, true
 	}
-	choice, ok := s.choose(now, w, s.candidates(now, w.call, states))
+	choice, ok := s.choose(now, w, s.candidates(now, w.request, states))
 	if !ok {
-		// One that no engine can begin in time must not hold back those behind it
-		// that have more of theirs left.
-		w.holds, w.next = choice.Lack != placer.LackTime, now.Add(retryEvery)
-		if !w.holds {
-			w.next = now.Add(timeEvery)
+		// A request that no engine can start in time must not hold back later ones
+		// that have more time left.
+		w.blocks, w.retryAt = choice.Lack != placer.LackTime, now.Add(retryInterval)
+		if !w.blocks {
+			w.retryAt = now.Add(lackTimeRetryInterval)
 		}
-		l.blocked[k] = w.holds
-		w.waits.turn(now, reason(choice.Lack))
+		p.blocked[c] = w.blocks
+		w.wait.switchTo(now, waitReason(choice.Lack))
 		return reply{}, false
 	}
 	g := s.grant(now, w, choice, states)
-	g.WaitTimes = w.waits.end(now)
+	g.WaitTimes = w.wait.stop(now)
 	return reply{grant: g}, true
 }
 
-// usable are the upstreams of the group that may get new work.
+// usable returns the upstreams of the group that may get new requests.
 func (s *Scheduler) usable(now time.Time, service string) []tracker.State {
 	states := s.deps.Tracker.Usable(now, service)
 	if s.zone == "" {
@@ -161,40 +165,40 @@
 }
 
 func (s *Scheduler) choose(now time.Time, w *waiter, cs []placer.Candidate) (placer.Choice, bool) {
-	if w.call.Service.Engine == nil {
-		return placer.Plain(w.call.Requirements, cs)
+	if w.request.Service.Engine == nil {
+		return placer.Plain(w.request.Requirements, cs)
 	}
-	return placer.Engine(w.call.Service.Engine, w.call.Requirements, cs, now, w.times.urgency(now))
+	return placer.Engine(w.request.Service.Engine, w.request.Requirements, cs, now, w.timing.urgency(now))
 }
 
-func (s *Scheduler) candidates(now time.Time, call Request, states []tracker.State) []placer.Candidate {
+func (s *Scheduler) candidates(now time.Time, r Request, states []tracker.State) []placer.Candidate {
 	cs := make([]placer.Candidate, 0, len(states))
 	for i := range states {
 		u := &states[i]
 		c := placer.Candidate{
-			ID: u.ID, Zone: u.Zone, Slots: u.Slots, Near: u.Zone == call.Zone, Room: unbounded,
-			Cold: now.Before(u.ColdUntil), Silent: now.Before(u.SilentUntil) || slices.Contains(call.Unreachable, u.ID),
+			ID: u.ID, Zone: u.Zone, Slots: u.Slots, Near: u.Zone == r.Zone, Room: unlimitedRoom,
+			Cold: now.Before(u.ColdUntil), Silent: now.Before(u.SilentUntil) || slices.Contains(r.Unreachable, u.ID),
 			Leaves: now.Before(u.LeavesUntil), Failed: u.Outcomes.Failed, Answered: u.Outcomes.Answered,
 		}
-		if l, ok := s.work[u.ID]; ok {
+		if l, ok := s.loads[u.ID]; ok {
 			c.Load = *l
 		}
-		c.Load.Add(s.unknownAt(u.Slots))
-		if rate := call.Service.ColdRate; rate > 0 && c.Cold {
-			c.Room = s.coldOf(u.ID).Available(now, s.deps.ColdQuota(u.ID, rate))
+		c.Load.Add(s.assumedLoadAt(u.Slots))
+		if rate := r.Service.ColdRate; rate > 0 && c.Cold {
+			c.Room = s.coldLimiter(u.ID).Available(now, s.deps.ColdQuota(u.ID, rate))
 		}
 		if u.Limit.Limited {
-			c.Room = min(c.Room, s.room(now, u))
+			c.Room = min(c.Room, s.availableAt(now, u))
 		}
 		cs = append(cs, c)
 	}
 	return cs
 }
 
-// unknownAt is what others are taken to have at an upstream: no more than half of
-// its slots, as one that seems full gets nothing at all.
-func (s *Scheduler) unknownAt(slots int) placer.Load {
-	l := s.unknown
+// assumedLoadAt returns the assumed load of other VMs at an upstream. It covers at
+// most half of the slots, because an upstream that seems full gets no requests.
+func (s *Scheduler) assumedLoadAt(slots int) placer.Load {
+	l := s.assumedLoad
 	l.Streams = min(l.Streams, slots/2)
 	return l
 }
--- a/entry/process/scheduler/scheduler.go
+++ b/entry/process/scheduler/scheduler.go
@@ -1,13 +1,12 @@
-// Package scheduler gives requests their places at upstreams. It keeps the work
-// under way at each upstream of a group, holds requests that had better wait, in
-// order, and lets go of those that can no longer be answered in time. Where a
-// request goes is the placer's decision, which upstreams there are is the
-// tracker's knowledge, and which VM schedules for which others is the allocator's
-// matter.
+// Package scheduler assigns requests to upstreams. It tracks the load at each
+// upstream of a group, queues requests that are better served later, and refuses
+// those that can no longer be answered in time. The placer decides which upstream
+// a request goes to, the tracker knows which upstreams exist, and the allocator
+// decides which VM schedules for which others.
 //
-// What waits here can still be ordered and placed elsewhere; what was sent
-// cannot. So a long prompt waits here while engines read another, for as long
-// as that costs its caller nothing.
+// A queued request can still be reordered and placed elsewhere; one that was sent
+// cannot. A long prompt is therefore queued while the engines prefill another one,
+// for as long as that costs its caller nothing.
 package scheduler
 
 import (
@@ -23,60 +22,60 @@
 )
 
 const (
-	// retryEvery is how often a place is looked for for one request that waits. A
-	// decision takes some tens of microseconds, and under load hundreds of events
-	// a second could each change it.
-	retryEvery = 4 * time.Millisecond
-	// timeEvery is the same for one that no engine could begin in time: that
-	// changes only as engines end what they read.
-	timeEvery = 20 * time.Millisecond
+	// retryInterval is the minimum time between two attempts to place the same
+	// queued request. One attempt takes some tens of microseconds, and under load
+	// hundreds of events per second could each change its result.
+	retryInterval = 4 * time.Millisecond
+	// lackTimeRetryInterval replaces retryInterval for a request that no engine
+	// could start in time. That changes only when engines finish a prefill.
+	lackTimeRetryInterval = 20 * time.Millisecond
 )
 
-// Deps are what a Scheduler works with.
+// Deps are the dependencies of a Scheduler.
 type Deps struct {
 	Tracker *tracker.Tracker
-	// ColdQuota is how many requests a second this Scheduler may place at an
-	// upstream in cold start that bears so many.
+	// ColdQuota returns how many requests per second this Scheduler may place at
+	// an upstream in cold start that handles rate requests per second.
 	ColdQuota func(upstream string, rate float64) int
-	// RateQuota is how many requests a second this Scheduler may place at an
-	// upstream that has named a limit for all VMs together.
-	RateQuota func(named float64) float64
+	// RateQuota returns how many requests per second this Scheduler may place at
+	// an upstream that has announced a rate limit for all VMs together.
+	RateQuota func(limit float64) float64
 	Now       func() time.Time
 }
 
-// A Request is a request for a place.
+// A Request asks for a slot at an upstream.
 type Request struct {
 	Service      *matcher.Service
 	Requirements placer.Ask
-	// Priority is the request's rank, 0 being the first.
+	// Priority orders the queue; 0 is the most urgent.
 	Priority int
-	// Team is whose it is.
+	// Team is the team that sent the request.
 	Team string
-	// Zone is that of the VM that asks, and Avoid are upstreams that it cannot
-	// reach.
+	// Zone is the zone of the requesting VM, and Unreachable are the upstreams
+	// that this VM cannot connect to.
 	Zone        string
 	Unreachable []string
-	// StopsAt is when that VM stops; zero while it does not.
+	// StopsAt is when that VM shuts down; zero if no shutdown is planned.
 	StopsAt time.Time
 }
 
-// A Refusal says that no place could be given in time. Nothing was sent.
-type Refusal struct { //nolint:errname // the word that callers meet
-	// Code is a short word for why.
+// A Refusal reports that a request could not be placed in time. Nothing was sent.
+type Refusal struct { //nolint:errname // callers know it by this name
+	// Code is the reason in one word.
 	Code string
-	// RetryAfter is when coming back helps.
+	// RetryAfter is when a retry is likely to succeed.
 	RetryAfter time.Duration
-	// WaitTimes is how long it waited for what.
+	// WaitTimes is how long the request was queued, by reason.
 	WaitTimes WaitTimes
 }
 
-// Error gives the refusal in one line.
-func (r *Refusal) Error() string { return "no place: " + r.Code }
+// Error returns the refusal in one line.
+func (r *Refusal) Error() string { return "request not placed: " + r.Code }
 
-// CodeNoUpstream is the code of a request for a service of which no upstream may be used.
+// CodeNoUpstream refuses a request for a service without a usable upstream.
 const CodeNoUpstream = "no_upstream"
 
-// CodeLate is the code of a request that could not be done in time.
+// CodeLate refuses a request that could not be completed in time.
 const CodeLate = "late"
 
 // A Scheduler places the requests for one group of upstreams.
@@ -84,132 +83,137 @@
 	zone string
 	deps Deps
 
-	mu      sync.Mutex
-	work    map[string]*placer.Load
-	cold    map[string]*budgeter.ColdLimiter
-	limits  map[string]*budgeter.RateLimiter
-	waiting []*waiter
-	// rankers keep the teams' use of each service.
+	mu           sync.Mutex
+	loads        map[string]*placer.Load
+	coldLimiters map[string]*budgeter.ColdLimiter
+	rateLimiters map[string]*budgeter.RateLimiter
+	queue        []*waiter
+	// rankers track the usage of each service by team.
 	rankers map[string]*ranker.Ranker
-	// holds is until when nothing is placed.
-	holds time.Time
-	// freed says that a place may have become free since the last scan.
-	freed bool
-	// unknown is what others may have at each upstream that nobody has told.
-	unknown placer.Load
-	// replies are those that are to be told once the lock is free.
+	// pausedUntil is the time before which nothing is placed.
+	pausedUntil time.Time
+	// capacityFreed is set if a slot may have become free since the last dispatch.
+	capacityFreed bool
+	// assumedLoad is the load at each upstream that other VMs may have added
+	// without reporting it.
+	assumedLoad placer.Load
+	// replies are delivered once the lock is released.
 	replies []reply
 }
 
+// A waiter is a queued request.
 type waiter struct {
-	call  Request
-	times times
-	tell  func(*Grant, *Refusal)
-	// next is when a place is to be looked for again, and holds that what it lacks
-	// holds back others.
-	next  time.Time
-	holds bool
-	// waits is why it waits, and since when for this reason.
-	waits wait
-	// late and over are 1 where it can no longer be in time, and where its team
-	// uses more than its share, when it was last sorted.
-	late, over int
+	request Request
+	timing  timing
+	notify  func(*Grant, *Refusal)
+	// retryAt is when the next attempt to place the request is due. blocks is set
+	// if the request holds back later ones of its class.
+	retryAt time.Time
+	blocks  bool
+	// wait records for which reason the request waits, and since when.
+	wait waitTimer
+	// late is 1 if the request could no longer be in time, and overShare is 1 if
+	// its team used more than its share, when the queue was last sorted.
+	late, overShare int
 }
 
+// A reply is a grant or a refusal that has not been delivered yet.
 type reply struct {
 	waiter  *waiter
 	grant   *Grant
 	refusal *Refusal
 }
 
-// New returns a Scheduler for the upstreams of a zone, or of all zones where it
-// is empty.
+// New returns a Scheduler for the upstreams of a zone, or of all zones if zone is
+// empty.
 func New(zone string, d Deps) *Scheduler {
 	return &Scheduler{
 		zone: zone, deps: d,
-		work: make(map[string]*placer.Load), cold: make(map[string]*budgeter.ColdLimiter), limits: make(map[string]*budgeter.RateLimiter), rankers: make(map[string]*ranker.Ranker),
+		loads: make(map[string]*placer.Load), coldLimiters: make(map[string]*budgeter.ColdLimiter), rateLimiters: make(map[string]*budgeter.RateLimiter), rankers: make(map[string]*ranker.Ranker),
 	}
 }
 
-// An Pending is a request for a place that may still wait.
+// A Pending is a submitted request that may still be queued.
 type Pending struct {
 	scheduler *Scheduler
 	waiter    *waiter
 }
 
-// Submit asks for a place. It has tell called with the place or the refusal, once,
-// by whoever calls the Scheduler when that is known, this call included.
-func (s *Scheduler) Submit(c Request, tell func(*Grant, *Refusal)) *Pending {
-	w := &waiter{call: c, times: timesOf(c), tell: tell}
-	w.waits.since = s.deps.Now()
-	s.locked(func() {
-		s.waiting = append(s.waiting, w)
-		s.pump()
+// Submit requests a slot. It calls notify once with the grant or the refusal, from
+// whichever call into the Scheduler settles the request, which may be this one.
+func (s *Scheduler) Submit(r Request, notify func(*Grant, *Refusal)) *Pending {
+	w := &waiter{request: r, timing: newTiming(r), notify: notify}
+	w.wait.since = s.deps.Now()
+	s.withLock(func() {
+		s.queue = append(s.queue, w)
+		s.dispatch()
 	})
 	return &Pending{s, w}
 }
 
-// locked does something under the lock, and gives the replies that came of it
-// once the lock is free: whoever gets one may call this package again.
-func (s *Scheduler) locked(do func()) {
+// withLock calls f with the lock held and delivers the resulting replies after
+// releasing it, because a notify function may call into this package again.
+func (s *Scheduler) withLock(f func()) {
 	s.mu.Lock()
-	do()
+	f()
 	replies := s.replies
 	s.replies = nil
 	s.mu.Unlock()
 	for _, r := range replies {
-		r.waiter.tell(r.grant, r.refusal)
+		r.waiter.notify(r.grant, r.refusal)
 	}
 }
 
-// Cancel takes the request back: its caller has gone, or its time is over. It
-// gives how long it waited for what. One that was told has nothing to take back.
-func (a *Pending) Cancel() WaitTimes {
-	s := a.scheduler
+// Cancel removes the request from the queue, because its caller has disconnected or
+// its time is over. It returns how long the request was queued, by reason. It does
+// not undo a grant or a refusal that was already delivered.
+func (p *Pending) Cancel() WaitTimes {
+	s := p.scheduler
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waiting = slices.DeleteFunc(s.waiting, func(o *waiter) bool { return o == a.waiter })
-	return a.waiter.waits.end(s.deps.Now())
+	s.queue = slices.DeleteFunc(s.queue, func(w *waiter) bool { return w == p.waiter })
+	return p.waiter.wait.stop(s.deps.Now())
 }
 
-// SetStop notes that the VM that asked stops at a time: a request that cannot end
-// before is refused, and still has time to go to another.
-func (a *Pending) SetStop(at time.Time) {
-	a.scheduler.locked(func() {
-		a.waiter.call.StopsAt = at
-		a.scheduler.pump()
+// SetStop records when the requesting VM shuts down. A request that cannot finish
+// before then is refused at once, while it still has time to go to another VM.
+func (p *Pending) SetStop(at time.Time) {
+	p.scheduler.withLock(func() {
+		p.waiter.request.StopsAt = at
+		p.scheduler.dispatch()
 	})
 }
 
-// AssumeLoad has others taken to have so much at each upstream besides what is known.
+// AssumeLoad adds an assumed load of other VMs to the known load of each upstream.
 func (s *Scheduler) AssumeLoad(l placer.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unknown = l
+	s.assumedLoad = l
 }
 
-// PauseUntil has nothing placed before a time, at which what is under way is known.
+// PauseUntil stops placement until the given time, by which the current load is
+// known.
 func (s *Scheduler) PauseUntil(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.holds = until
+	s.pausedUntil = until
 }
 
-func (s *Scheduler) coldOf(id string) *budgeter.ColdLimiter {
-	c, ok := s.cold[id]
+func (s *Scheduler) coldLimiter(id string) *budgeter.ColdLimiter {
+	c, ok := s.coldLimiters[id]
 	if !ok {
 		c = budgeter.NewColdLimiter()
-		s.cold[id] = c
+		s.coldLimiters[id] = c
 	}
 	return c
 }
 
-// add changes the work at an upstream.
-func (s *Scheduler) add(id string, l placer.Load, sign int) {
-	sum, ok := s.work[id]
+// addLoad adds a load to an upstream, or subtracts it if sign is negative.
+func (s *Scheduler) addLoad(id string, l placer.Load, sign int) {
+	sum, ok := s.loads[id]
 	if !ok {
 		sum = &placer.Load{}
-		s.work[id] = sum
+		s.loads[id] = sum
 	}
 	if sign > 0 {
 		sum.Add(l)
@@ -217,44 +221,46 @@
 		sum.Take(l)
 	}
 	if *sum == (placer.Load{}) {
-		delete(s.work, id)
+		delete(s.loads, id)
 	}
 }
 
-// Loads is what is under way at each upstream.
+// Loads returns the load at each upstream that has any.
 func (s *Scheduler) Loads() map[string]placer.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := make(map[string]placer.Load, len(s.work))
-	for id, l := range s.work {
+	all := make(map[string]placer.Load, len(s.loads))
+	for id, l := range s.loads {
 		all[id] = *l
 	}
 	return all
 }
 
-// QueueLength is how many requests wait.
+// QueueLength returns the number of queued requests.
 func (s *Scheduler) QueueLength() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.waiting)
+	return len(s.queue)
 }
 
-// Forget drops the count of a cold upstream that is gone.
+// Forget drops the cold-start and rate limiters of an upstream that no longer
+// exists.
 func (s *Scheduler) Forget(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.cold, id)
-	delete(s.limits, id)
+	delete(s.coldLimiters, id)
+	delete(s.rateLimiters, id)
 }
 
-// QueuedPrefill is the reading time in milliseconds of the prompts that wait.
+// QueuedPrefill returns the total prefill time of the queued prompts in
+// milliseconds.
 func (s *Scheduler) QueuedPrefill() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sum := 0.0
-	for _, w := range s.waiting {
-		if e := w.call.Service.Engine; e != nil {
-			sum += placer.Read(e, w.call.Requirements.Prompt, 1)
+	for _, w := range s.queue {
+		if e := w.request.Service.Engine; e != nil {
+			sum += placer.Read(e, w.request.Requirements.Prompt, 1)
 		}
 	}
 	return sum
--- a/entry/process/scheduler/scheduler_test.go
+++ b/entry/process/scheduler/scheduler_test.go
@@ -19,7 +19,7 @@
 	Step: 1.02, PerStream: 0.00226, PerContext: 0.00431, ReadRate: 206, Pairs: 0.138,
 }
 
-// A fleet is a scheduler with upstreams and a clock that a test sets.
+// A fleet is a scheduler with upstreams and a clock that the test sets.
 type fleet struct {
 	*scheduler.Scheduler
 	tracker *tracker.Tracker
@@ -30,7 +30,7 @@
 	f := &fleet{tracker: tracker.New(), now: time.Unix(1_000_000, 0)}
 	f.Scheduler = scheduler.New("", scheduler.Deps{
 		Tracker: f.tracker, Now: func() time.Time { return f.now },
-		ColdQuota: func(_ string, rate float64) int { return int(rate) }, RateQuota: func(named float64) float64 { return named },
+		ColdQuota: func(_ string, rate float64) int { return int(rate) }, RateQuota: func(limit float64) float64 { return limit },
 	})
 	for i := range engines {
 		f.tracker.Put(f.now, tracker.Upstream{ID: "u" + strconv.Itoa(i), Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 2})
@@ -38,25 +38,27 @@
 	return f
 }
 
-// others have so many streams at an upstream, given by another scheduler.
-func (f *fleet) others(upstream string, streams int) (all []*scheduler.Grant) {
+// adoptStreams adds streams to an upstream that another scheduler has placed.
+func (f *fleet) adoptStreams(upstream string, streams int) (all []*scheduler.Grant) {
 	for range streams {
 		all = append(all, f.Adopt(scheduler.Workload{Prompt: 1000, Main: upstream}, true))
 	}
 	return all
 }
 
-func (f *fleet) call(prompt int, limit time.Duration) scheduler.Request {
+// request returns a request whose deadline is after limit, and whose objective is
+// after a tenth of it.
+func (f *fleet) request(prompt int, limit time.Duration) scheduler.Request {
 	return scheduler.Request{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Requirements: placer.Ask{
 		Prompt: prompt, Output: 40, Pause: 250, Arrived: f.now, Objective: f.now.Add(limit / 10), Deadline: f.now.Add(limit),
 	}}
 }
 
-// full is a fleet of one engine whose slots are taken.
-func full(t *testing.T) *fleet {
+// newFullFleet returns a fleet of one engine whose slots are all taken.
+func newFullFleet(t *testing.T) *fleet {
 	t.Helper()
 	f := newFleet(1)
-	f.others("u0", 2)
+	f.adoptStreams("u0", 2)
 	return f
 }
 
@@ -65,33 +67,34 @@
 	refusal *scheduler.Refusal
 }
 
-// ask asks for a place; the answer comes with a call of the scheduler.
-func (f *fleet) ask(c scheduler.Request) chan outcome {
-	_, out := f.asked(c)
+// submit submits a request. The outcome arrives during a call into the scheduler.
+func (f *fleet) submit(c scheduler.Request) chan outcome {
+	_, out := f.submitPending(c)
 	return out
 }
 
-func (f *fleet) asked(c scheduler.Request) (*scheduler.Pending, chan outcome) {
+// submitPending is like submit but also returns the pending request.
+func (f *fleet) submitPending(c scheduler.Request) (*scheduler.Pending, chan outcome) {
 	out := make(chan outcome, 1)
 	return f.Submit(c, func(g *scheduler.Grant, r *scheduler.Refusal) { out <- outcome{g, r} }), out
 }
 
-// acquire is a request that is answered at once.
+// acquire submits a request that must be settled immediately.
 func (f *fleet) acquire(t *testing.T, c scheduler.Request) (*scheduler.Grant, *scheduler.Refusal) {
 	t.Helper()
 	select {
-	case o := <-f.ask(c):
+	case o := <-f.submit(c):
 		return o.grant, o.refusal
 	default:
-		t.Fatal("it waits")
+		t.Fatal("the request was queued instead of settled")
 		return nil, nil
 	}
 }
 
-// Requests wait, begin, end and leave in any order, some of them placed by another
-// scheduler. A place that is not given back in full would be lost for good: the
-// engine seems busy forever.
-func TestNothingIsLeftWhenAllHaveEnded(t *testing.T) {
+// Requests are queued, start, end and are cancelled in any order, some of them
+// placed by another scheduler. A grant that is not released in full would make its
+// engine seem busy forever.
+func TestReleasedGrantsLeaveNoLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 6).Draw(t, "engines"))
 		var open []*scheduler.Grant
@@ -108,8 +111,8 @@
 			case rapid.Bool().Draw(t, "adopt"):
 				open = append(open, f.Adopt(scheduler.Workload{Prompt: rapid.IntRange(1, 300_000).Draw(t, "prompt"), Prefill: 3.7, Main: "u0", Helpers: []string{"u1"}, ReservedTokens: []int{9000}}, rapid.Bool().Draw(t, "began")))
 			default:
-				asked, out := f.asked(f.call(rapid.IntRange(1, 300_000).Draw(t, "prompt"), 10*time.Second))
-				asked.Cancel()
+				pending, out := f.submitPending(f.request(rapid.IntRange(1, 300_000).Draw(t, "prompt"), 10*time.Second))
+				pending.Cancel()
 				select {
 				case o := <-out:
 					if o.grant != nil {
@@ -123,60 +126,60 @@
 			g.Release()
 		}
 		if len(f.Loads()) != 0 || f.QueueLength() != 0 {
-			t.Fatalf("left: %v, waiting %d", f.Loads(), f.QueueLength())
+			t.Fatalf("load left: %v, queued: %d", f.Loads(), f.QueueLength())
 		}
 	})
 }
 
-// All slots are taken, and the next request's time runs out here: its caller
-// must learn it in that moment, not when the time is over.
-func TestWhatCannotEndInTimeIsRefusedAtOnce(t *testing.T) {
+// All slots are taken while the time of a queued request runs out. Its caller must
+// be told at that moment, not at the deadline.
+func TestRequestThatCannotFinishInTimeIsRefusedImmediately(t *testing.T) {
 	f := newFleet(1)
 	for range 2 {
-		_, refusal := f.acquire(t, f.call(1000, 10*time.Second))
+		_, refusal := f.acquire(t, f.request(1000, 10*time.Second))
 		assert.Assert(t, refusal == nil)
 	}
-	waits := f.ask(f.call(1000, 10*time.Second))
+	queued := f.submit(f.request(1000, 10*time.Second))
 	assert.Equal(t, f.QueueLength(), 1)
 	f.now = f.now.Add(9950 * time.Millisecond)
 	f.Dispatch()
-	o := <-waits
+	o := <-queued
 	assert.Assert(t, o.refusal != nil)
 	assert.Equal(t, o.refusal.Code, scheduler.CodeLate)
 	assert.Assert(t, o.refusal.RetryAfter > 0)
-	_, refusal := f.acquire(t, f.call(600_000, 500*time.Millisecond))
-	assert.Assert(t, refusal != nil, "half a second cannot be enough")
+	_, refusal := f.acquire(t, f.request(600_000, 500*time.Millisecond))
+	assert.Assert(t, refusal != nil, "half a second is too short for this prompt")
 }
 
-// A prompt that no engine has room for waits at the head of the queue. Short
-// prompts, and long ones of other lengths, must go past it.
-func TestPromptWithoutPlaceHoldsBackNoOther(t *testing.T) {
+// A prompt that no engine has room for is first in the queue. Short prompts, and
+// long ones of other lengths, must be able to pass it.
+func TestUnplaceablePromptDoesNotBlockOthers(t *testing.T) {
 	f := newFleet(1)
-	huge := f.ask(f.call(500_000, 100*time.Second))
+	huge := f.submit(f.request(500_000, 100*time.Second))
 	assert.Equal(t, f.QueueLength(), 1)
-	g, refusal := f.acquire(t, f.call(1000, 100*time.Second))
+	g, refusal := f.acquire(t, f.request(1000, 100*time.Second))
 	assert.Assert(t, refusal == nil)
 	g.Release()
-	g, refusal = f.acquire(t, f.call(40_000, 100*time.Second))
+	g, refusal = f.acquire(t, f.request(40_000, 100*time.Second))
 	assert.Assert(t, refusal == nil)
 	g.Release()
 	assert.Equal(t, len(huge), 0)
 }
 
-// Of two that wait, the urgent one goes first; of two alike, the one whose time
-// is shorter; and one that is late already after both.
-func TestPlacesGoByRankThenByTime(t *testing.T) {
+// The request with the more urgent priority goes first. With equal priorities the
+// one with less time goes first, and one that is already late goes last.
+func TestQueueOrdersByPriorityThenLatestStart(t *testing.T) {
 	f := newFleet(1)
-	first, _ := f.acquire(t, f.call(1000, 100*time.Second))
-	second, _ := f.acquire(t, f.call(1000, 100*time.Second))
-	late := f.call(1000, 100*time.Second)
+	first, _ := f.acquire(t, f.request(1000, 100*time.Second))
+	second, _ := f.acquire(t, f.request(1000, 100*time.Second))
+	late := f.request(1000, 100*time.Second)
 	late.Requirements.Objective = f.now.Add(-time.Second)
-	relaxed, urgent := f.call(1000, 200*time.Second), f.call(1000, 100*time.Second)
-	ranked := f.call(1000, 200*time.Second)
+	relaxed, urgent := f.request(1000, 200*time.Second), f.request(1000, 100*time.Second)
+	preferred := f.request(1000, 200*time.Second)
 	relaxed.Priority, urgent.Priority, late.Priority = 1, 1, 1
 	var outs []chan outcome
-	for _, c := range []scheduler.Request{late, relaxed, urgent, ranked} {
-		outs = append(outs, f.ask(c))
+	for _, c := range []scheduler.Request{late, relaxed, urgent, preferred} {
+		outs = append(outs, f.submit(c))
 	}
 	assert.Equal(t, f.QueueLength(), 4)
 	first.Release()
@@ -190,12 +193,12 @@
 	<-outs[0]
 }
 
-// One team sends most of the load. What waits of the others goes before the rest
-// of its burst, however early that came.
-func TestTeamOverItsShareStandsBehind(t *testing.T) {
+// One team sends most of the load. Queued requests of other teams go before the
+// rest of its burst, however early the burst arrived.
+func TestTeamOverItsShareIsServedLast(t *testing.T) {
 	f := newFleet(1)
 	var open []*scheduler.Grant
-	busy, quiet := f.call(1000, 100*time.Second), f.call(1000, 100*time.Second)
+	busy, quiet := f.request(1000, 100*time.Second), f.request(1000, 100*time.Second)
 	busy.Team, quiet.Team = "busy", "quiet"
 	for range 2 {
 		g, _ := f.acquire(t, quiet)
@@ -209,9 +212,9 @@
 		g, _ := f.acquire(t, busy)
 		open = append(open, g)
 	}
-	first := f.ask(busy)
+	first := f.submit(busy)
 	quiet.Requirements.Objective = quiet.Requirements.Objective.Add(time.Millisecond)
-	second := f.ask(quiet)
+	second := f.submit(quiet)
 	open[0].Release()
 	o := <-second
 	assert.Assert(t, o.grant != nil)
@@ -220,45 +223,45 @@
 	<-first
 }
 
-// All engines read for long, so that no short prompt that comes now can be in
-// time there, and each waits for a better one. Those that are late already take
-// the slots that are free; behind the new ones they would wait until their
-// callers leave.
+// All engines have a long prefill, so that no new short prompt can be in time there
+// and each waits for a better engine. Short prompts that are late already must take
+// the free slots. Behind the new ones they would wait until their callers
+// disconnect.
 func TestLateShortPromptsDoNotWaitBehindNewOnes(t *testing.T) {
 	f := newFleet(1)
 	f.Adopt(scheduler.Workload{Prompt: 100_000, Prefill: 2000, Long: true, Main: "u0"}, false)
-	late := f.call(1000, 20*time.Second)
+	late := f.request(1000, 20*time.Second)
 	late.Requirements.Objective = f.now.Add(-time.Second)
-	fresh := f.ask(f.call(1000, 10*time.Second))
+	fresh := f.submit(f.request(1000, 10*time.Second))
 	assert.Equal(t, f.QueueLength(), 1)
-	placed := f.ask(late)
-	assert.Equal(t, f.QueueLength(), 1, "the late one waits as well")
+	placed := f.submit(late)
+	assert.Equal(t, f.QueueLength(), 1, "the late request is queued as well")
 	assert.Assert(t, (<-placed).grant != nil)
 	assert.Equal(t, len(fresh), 0)
 }
 
-// Whoever begins to schedule for a group learns what others have sent there. Taken
-// for idle, an engine that is full gets the next requests as well.
-func TestAdoptedWorkCounts(t *testing.T) {
+// A VM that starts to schedule for a group learns what others have sent there. If a
+// full engine counted as idle, it would get the next requests as well.
+func TestAdoptedWorkloadsCountAsLoad(t *testing.T) {
 	f := newFleet(2)
-	adopted := f.others("u0", 2)
+	adopted := f.adoptStreams("u0", 2)
 	for range 2 {
-		g, _ := f.acquire(t, f.call(1000, 10*time.Second))
+		g, _ := f.acquire(t, f.request(1000, 10*time.Second))
 		assert.Equal(t, g.Upstream.ID, "u1")
 	}
-	waits := f.ask(f.call(1000, 10*time.Second))
-	assert.Equal(t, len(waits), 0)
+	queued := f.submit(f.request(1000, 10*time.Second))
+	assert.Equal(t, len(queued), 0)
 	adopted[0].Release()
-	assert.Equal(t, (<-waits).grant.Upstream.ID, "u0")
+	assert.Equal(t, (<-queued).grant.Upstream.ID, "u0")
 }
 
-// Whoever begins to schedule does not know yet what is under way. Until it does it
-// places nothing, and then the first in order, not the first that came.
-func TestNothingIsPlacedWhileItLearns(t *testing.T) {
+// A VM that starts to schedule does not know the current load yet. Until it does it
+// must place nothing, and then the first request by queue order, not by arrival.
+func TestNothingIsPlacedWhilePaused(t *testing.T) {
 	f := newFleet(1)
 	f.PauseUntil(f.now.Add(30 * time.Millisecond))
-	relaxed, urgent := f.ask(f.call(1000, 200*time.Second)), f.ask(f.call(1000, 100*time.Second))
-	f.others("u0", 1)
+	relaxed, urgent := f.submit(f.request(1000, 200*time.Second)), f.submit(f.request(1000, 100*time.Second))
+	f.adoptStreams("u0", 1)
 	f.Dispatch()
 	assert.Equal(t, f.QueueLength(), 2)
 	f.now = f.now.Add(30 * time.Millisecond)
@@ -267,75 +270,76 @@
 	assert.Equal(t, len(relaxed), 0)
 }
 
-// One that no engine can begin in time any more stands first, and those behind it
-// have more time left. Held back by it they would be late as well, one after the
-// other.
-func TestWhatCannotBeInTimeHoldsBackNoOther(t *testing.T) {
+// A request that no engine can start in time any more is first in the queue, and
+// those behind it have more time left. If it blocked them they would become late as
+// well, one after the other.
+func TestRequestThatCannotStartInTimeDoesNotBlockOthers(t *testing.T) {
 	f := newFleet(1)
 	f.Adopt(scheduler.Workload{Prompt: 40_000, Prefill: 150, Long: true, Main: "u0"}, false)
-	pressed := f.call(1000, 100*time.Second)
-	pressed.Requirements.Objective = f.now.Add(150 * time.Millisecond)
-	first := f.ask(pressed)
+	tight := f.request(1000, 100*time.Second)
+	tight.Requirements.Objective = f.now.Add(150 * time.Millisecond)
+	first := f.submit(tight)
 	assert.Equal(t, f.QueueLength(), 1)
-	second, refusal := f.acquire(t, f.call(1000, 100*time.Second))
+	second, refusal := f.acquire(t, f.request(1000, 100*time.Second))
 	assert.Assert(t, refusal == nil && second != nil)
 	assert.Equal(t, len(first), 0)
 }
 
-// An engine fails what it gets at once, while its health is good and it has
-// nothing under way, so that it looks the best. Other VMs have found that out and
-// say so, and none of them can reach another.
-func TestOthersFindingsCount(t *testing.T) {
+// An engine fails every request at once, while its health check passes and it has
+// no load, so that it looks the best. Failures that other VMs have reported must
+// count against it. A request must also avoid an upstream that its VM cannot connect
+// to.
+func TestFailuresFoundByOtherVMsCount(t *testing.T) {
 	f := newFleet(2)
 	for range 3 {
 		f.tracker.Learn(f.now, tracker.Event{Finding: tracker.FoundFailing, Upstreams: []string{"u0"}})
 	}
 	for range 2 {
-		g, _ := f.acquire(t, f.call(5000, 10*time.Second))
+		g, _ := f.acquire(t, f.request(5000, 10*time.Second))
 		assert.Equal(t, g.Upstream.ID, "u1")
 	}
 	f = newFleet(2)
-	c := f.call(5000, 10*time.Second)
+	c := f.request(5000, 10*time.Second)
 	c.Unreachable = []string{"u1"}
 	g, _ := f.acquire(t, c)
 	assert.Equal(t, g.Upstream.ID, "u0")
 }
 
-// Upstreams of other zones are other groups' matter.
-func TestGroupOfAZoneTakesNoOtherUpstreams(t *testing.T) {
+// A scheduler for one zone must not use upstreams of other zones, which belong to
+// other groups.
+func TestZoneGroupUsesOnlyUpstreamsOfItsZone(t *testing.T) {
 	f := newFleet(1)
 	f.tracker.Put(f.now, tracker.Upstream{ID: "far", Service: "s", Zone: "y", Slots: 2})
 	s := scheduler.New("y", scheduler.Deps{Tracker: f.tracker, Now: func() time.Time { return f.now }})
 	out := make(chan outcome, 1)
-	s.Submit(f.call(1000, 10*time.Second), func(g *scheduler.Grant, r *scheduler.Refusal) { out <- outcome{g, r} })
+	s.Submit(f.request(1000, 10*time.Second), func(g *scheduler.Grant, r *scheduler.Refusal) { out <- outcome{g, r} })
 	assert.Equal(t, (<-out).grant.Upstream.ID, "far")
 }
 
-// An upstream turned cold, and four requests a second of those that it bears are
-// this scheduler's part. It places no more there, and the rest waits or goes
-// elsewhere.
-func TestColdUpstreamGetsItsPart(t *testing.T) {
+// An upstream has turned cold, and this scheduler's quota of it is four requests per
+// second. It must place no more there; further requests wait or go elsewhere.
+func TestColdUpstreamStaysWithinItsQuota(t *testing.T) {
 	f := newFleet(1)
 	f.tracker.TurnedCold(f.now, "u0", time.Minute)
 	for range 4 {
-		g, refusal := f.acquire(t, f.call(1000, 100*time.Second))
+		g, refusal := f.acquire(t, f.request(1000, 100*time.Second))
 		assert.Assert(t, refusal == nil)
 		g.Release()
 	}
-	out := f.ask(f.call(1000, 100*time.Second))
+	out := f.submit(f.request(1000, 100*time.Second))
 	assert.Equal(t, f.QueueLength(), 1)
 	f.now = f.now.Add(1300 * time.Millisecond)
 	f.Dispatch()
 	assert.Assert(t, (<-out).grant != nil)
 }
 
-// Callers leave a stream that does not begin. One that cannot begin before that
-// is told while it is still there.
-func TestRefusedBeforeTheCallerLeaves(t *testing.T) {
-	f := full(t)
-	c := f.call(1000, 100*time.Second)
+// Callers disconnect from a stream that does not start. A request that cannot start
+// before then must be refused while its caller is still connected.
+func TestRequestIsRefusedBeforeItsCallerDisconnects(t *testing.T) {
+	f := newFullFleet(t)
+	c := f.request(1000, 100*time.Second)
 	c.Requirements.Leaves = f.now.Add(2 * time.Second)
-	out := f.ask(c)
+	out := f.submit(c)
 	f.now = f.now.Add(1700 * time.Millisecond)
 	f.Dispatch()
 	assert.Equal(t, f.QueueLength(), 1)
@@ -344,85 +348,87 @@
 	assert.Assert(t, (<-out).refusal != nil)
 }
 
-// The VM that asked stops in two seconds. What waits and cannot end by then is
-// told at once, while it has time to go to another VM.
-func TestWhatCannotEndBeforeTheStopIsRefused(t *testing.T) {
+// The requesting VM shuts down in two seconds. A queued request that cannot finish
+// by then must be refused while it still has time to go to another VM.
+func TestRequestThatCannotFinishBeforeShutdownIsRefused(t *testing.T) {
 	f := newFleet(1)
 	for range 2 {
-		_, refusal := f.acquire(t, f.call(1000, 100*time.Second))
+		_, refusal := f.acquire(t, f.request(1000, 100*time.Second))
 		assert.Assert(t, refusal == nil)
 	}
-	asked, out := f.asked(f.call(1000, 100*time.Second))
-	asked.SetStop(f.now.Add(2 * time.Second))
-	assert.Equal(t, f.QueueLength(), 1, "two seconds are enough")
+	pending, out := f.submitPending(f.request(1000, 100*time.Second))
+	pending.SetStop(f.now.Add(2 * time.Second))
+	assert.Equal(t, f.QueueLength(), 1, "two seconds are enough to finish")
 	f.now = f.now.Add(1950 * time.Millisecond)
 	f.Dispatch()
 	assert.Assert(t, (<-out).refusal != nil)
 }
 
-// A caller that gives up takes its request out of the queue.
-func TestCallersWhoLeaveDoNotWaitOn(t *testing.T) {
-	f := full(t)
-	asked, out := f.asked(f.call(1000, 10*time.Second))
+// A caller that gives up removes its request from the queue.
+func TestCancelRemovesTheRequestFromTheQueue(t *testing.T) {
+	f := newFullFleet(t)
+	pending, out := f.submitPending(f.request(1000, 10*time.Second))
 	assert.Equal(t, f.QueueLength(), 1)
 	f.now = f.now.Add(time.Second)
-	why, long := asked.Cancel().Longest()
-	assert.Assert(t, why == "engine" && long == time.Second, "%s %v", why, long)
+	reason, waited := pending.Cancel().Longest()
+	assert.Assert(t, reason == "engine" && waited == time.Second, "%s %v", reason, waited)
 	assert.Equal(t, f.QueueLength(), 0)
 	assert.Equal(t, len(out), 0)
 }
 
-// All upstreams of a booking service have gone, as a zone is out and the others
-// were emptied. A booking that was held for its 800 ms and refused then had no
-// time left to come back; told at once, it comes back when there may be one. A
-// VM that has not read the list for long cannot say so, and waits.
-func TestServiceWithoutUpstreamsRefusesAtOnce(t *testing.T) {
+// All upstreams of a booking service are gone, because one zone is down and the
+// others were evacuated. A booking that was queued for its 800 ms and refused then
+// had no time left for a retry; refused at once, it is retried when an upstream may
+// be back. A VM whose upstream list is outdated cannot tell that there is none, and
+// queues the request.
+func TestServiceWithoutUpstreamsRefusesImmediately(t *testing.T) {
 	f := newFleet(0)
 	plain := scheduler.Request{Service: &matcher.Service{Name: "s"}, Requirements: placer.Ask{Arrived: f.now, Objective: f.now.Add(300 * time.Millisecond), Deadline: f.now.Add(800 * time.Millisecond)}}
-	for _, c := range []scheduler.Request{plain, f.call(1000, 10*time.Second), f.call(60_000, 10*time.Second)} {
+	for _, c := range []scheduler.Request{plain, f.request(1000, 10*time.Second), f.request(60_000, 10*time.Second)} {
 		g, refusal := f.acquire(t, c)
 		assert.Assert(t, g == nil)
 		assert.Equal(t, refusal.Code, scheduler.CodeNoUpstream)
 		assert.Assert(t, refusal.RetryAfter > 0)
 	}
 	f.tracker.Outdate(true)
-	waits := f.ask(plain)
+	queued := f.submit(plain)
 	assert.Equal(t, f.QueueLength(), 1)
 	f.tracker.Outdate(false)
 	f.tracker.Put(f.now, tracker.Upstream{ID: "u", Service: "s", Slots: 2})
 	f.Dispatch()
-	assert.Assert(t, (<-waits).grant != nil)
+	assert.Assert(t, (<-queued).grant != nil)
 }
 
-// limit has upstreams name a limit, or none any more.
-func (f *fleet) limit(rate float64, ids ...string) {
+// setRateLimit sets the rate limit of upstreams, or removes it if rate is 0.
+func (f *fleet) setRateLimit(rate float64, ids ...string) {
 	for _, id := range ids {
 		f.tracker.Limit(id, tracker.Limit{Limited: rate > 0, Rate: rate, AsOf: f.now})
 	}
 }
 
-// Every upstream of a service is in need, and three times as much comes as they take.
-// What cannot be served would wait until its caller leaves, in front of what can.
-func TestRequestsBeyondTheLimitsOfAllUpstreamsAreRefusedAtOnce(t *testing.T) {
+// Every upstream of a service is overloaded and rate limited, and three times as
+// many requests arrive as they accept. Requests that cannot be served would wait
+// until their callers disconnect, ahead of those that can.
+func TestRequestsAboveAllRateLimitsAreRefusedImmediately(t *testing.T) {
 	const rate, engines, seconds = 5, 2, 8
 	f := newFleet(engines)
-	f.limit(rate, "u0", "u1")
+	f.setRateLimit(rate, "u0", "u1")
 	granted, refused, inTime := 0, 0, 0
 	step := time.Second / (3 * rate * engines)
 	for range 3 * rate * engines * seconds {
 		f.now = f.now.Add(step)
-		asked := f.now
-		f.Submit(f.call(1000, 10*time.Second), func(g *scheduler.Grant, r *scheduler.Refusal) {
-			took := f.now.Sub(asked)
+		submittedAt := f.now
+		f.Submit(f.request(1000, 10*time.Second), func(g *scheduler.Grant, r *scheduler.Refusal) {
+			waited := f.now.Sub(submittedAt)
 			if r != nil {
 				refused++
 				assert.Equal(t, r.Code, scheduler.CodeLimited)
 				assert.Assert(t, r.RetryAfter > 0)
-				assert.Assert(t, took < 1500*time.Millisecond, "refused after %v", took)
+				assert.Assert(t, waited < 1500*time.Millisecond, "refused after %v", waited)
 				return
 			}
 			granted++
-			if took <= time.Second {
+			if waited <= time.Second {
 				inTime++
 			}
 			g.Release()
@@ -435,16 +441,16 @@
 	assert.Assert(t, refused > granted, "%d refused", refused)
 }
 
-// One of two upstreams is in need: the other takes what it does not, and nothing is
+// One of two upstreams is rate limited. The other takes the excess, and nothing is
 // refused.
-func TestUpstreamWithoutALimitTakesTheRest(t *testing.T) {
+func TestUpstreamWithoutRateLimitTakesTheExcess(t *testing.T) {
 	const rate = 2
 	f := newFleet(2)
-	f.limit(rate, "u0")
+	f.setRateLimit(rate, "u0")
 	counts := map[string]int{}
 	for range 200 {
 		f.now = f.now.Add(20 * time.Millisecond)
-		f.Submit(f.call(1000, 10*time.Second), func(g *scheduler.Grant, r *scheduler.Refusal) {
+		f.Submit(f.request(1000, 10*time.Second), func(g *scheduler.Grant, r *scheduler.Refusal) {
 			assert.Assert(t, r == nil, "refused: %v", r)
 			counts[g.Upstream.ID]++
 			g.Release()
--- a/entry/process/scheduler/times.go
+++ b/entry/process/scheduler/times.go
@@ -8,95 +8,99 @@
 )
 
 const (
-	// comeBack is when a refused request may come back: a burst of prompts is
-	// read within about this time.
-	comeBack = 500 * time.Millisecond
-	// usual is the streams and their context that an engine is taken to have
-	// when a request's latest start is worked out.
-	usualStreams, usualContext = 6, 60_000
-	// margin is kept between the latest start and the objective, for the ways
-	// there and back and for what estimates leave out.
-	margin = 60 * time.Millisecond
-	// rush is how long before a request must be given up it takes any place
-	// that there is.
-	rush = 2 * time.Second
-	// sizeUnit is the reading time in milliseconds of the shortest prompts that
-	// are told apart by length.
-	sizeUnit = 100.0
-	// plainWork is the time assumed for a plain service's answer, as far as
-	// giving up is concerned.
-	plainWork = 20 * time.Millisecond
+	// defaultRetryAfter is when a refused request may be retried: a burst of
+	// prompts is prefilled within about this time.
+	defaultRetryAfter = 500 * time.Millisecond
+	// typicalStreams and typicalContext are the streams at an engine and their
+	// context tokens that are assumed when a request's latest start is computed.
+	typicalStreams, typicalContext = 6, 60_000
+	// latencyMargin is kept between the latest start and the objective, for the
+	// network round trip and for what the estimates leave out.
+	latencyMargin = 60 * time.Millisecond
+	// urgentWindow is how long before giveUpAt a request starts to accept any
+	// slot.
+	urgentWindow = 2 * time.Second
+	// minSizedPrefill is the prefill time in milliseconds from which prompts are
+	// classified by length.
+	minSizedPrefill = 100.0
+	// plainServiceTime is the assumed response time of a plain service, used to
+	// decide when to give up.
+	plainServiceTime = 20 * time.Millisecond
 )
 
-// times are the moments that matter while a request waits.
-type times struct {
-	// start is the latest start with which the first event is in time.
-	start time.Time
-	// last is when the request can no longer be done by its deadline, and takes
-	// the time that it needs.
-	last  time.Time
-	takes time.Duration
-	// leaves is when the caller can no longer have its first event before it
-	// leaves; zero where that is not known. Held on, the request would be
-	// answered to nobody; refused now, it can still come back.
-	leaves time.Time
-	long   bool
-	// size is the binary logarithm of the prompt's reading time.
-	size int
+// timing holds the deadlines of a queued request.
+type timing struct {
+	// latestStart is the latest start at which the first event is still in time.
+	latestStart time.Time
+	// giveUpAt is when the request can no longer be completed by its deadline, and
+	// duration is the time it needs to complete.
+	giveUpAt time.Time
+	duration time.Duration
+	// latestUsefulStart is the latest start at which the first event still arrives
+	// before the caller disconnects; zero if that time is unknown. A request that
+	// was kept longer would be answered to nobody; refused now, it can be retried.
+	latestUsefulStart time.Time
+	long              bool
+	// sizeClass is the binary logarithm of the prompt's prefill time in units of
+	// minSizedPrefill.
+	sizeClass int
 }
 
-// hopeless says that the request had better be refused now, where the VM stops
-// at a time, unless that is zero.
-func (t times) hopeless(now, stop time.Time) bool {
+// cannotFinish reports whether the request should be refused now. The requesting VM
+// shuts down at stopsAt, unless that is zero.
+func (t timing) cannotFinish(now, stopsAt time.Time) bool {
 	switch {
-	case !now.Before(t.last):
+	case !now.Before(t.giveUpAt):
 		return true
-	case !stop.IsZero() && !now.Before(stop.Add(-t.takes)):
+	case !stopsAt.IsZero() && !now.Before(stopsAt.Add(-t.duration)):
 		return true
 	}
-	return !t.leaves.IsZero() && !now.Before(t.leaves)
+	return !t.latestUsefulStart.IsZero() && !now.Before(t.latestUsefulStart)
 }
 
-// late says that the first event can no longer be in time. A request whose latest
-// start has just passed counts as late at once: in a burst that is a little more
-// than the engines bear, one that might still make it stands before others that
-// would, and each is served when it is a moment too late for it.
-func (t times) late(now time.Time) bool { return now.After(t.start) }
+// late reports whether the first event can no longer be in time. A request counts
+// as late as soon as its latest start has passed. In a burst slightly above the
+// engines' capacity, a request that might just make it would otherwise go before
+// others that would make it, and each would be served a moment too late.
+func (t timing) late(now time.Time) bool { return now.After(t.latestStart) }
 
-func timesOf(c Request) times {
-	e := c.Service.Engine
+// newTiming computes the deadlines of a request from the performance model of its
+// engine.
+func newTiming(r Request) timing {
+	e := r.Service.Engine
 	if e == nil {
-		return times{start: c.Requirements.Objective, last: c.Requirements.Deadline.Add(-plainWork), takes: plainWork}
+		return timing{latestStart: r.Requirements.Objective, giveUpAt: r.Requirements.Deadline.Add(-plainServiceTime), duration: plainServiceTime}
 	}
-	long := !placer.Short(e, c.Requirements.Prompt)
-	read := placer.Read(e, c.Requirements.Prompt, 1)
+	long := !placer.Short(e, r.Requirements.Prompt)
+	prefill := placer.Read(e, r.Requirements.Prompt, 1)
 	if long {
-		read = placer.Read(e, c.Requirements.Prompt, placer.MostParts+1)
+		prefill = placer.Read(e, r.Requirements.Prompt, placer.MostParts+1)
 	}
-	pass := placer.Pass(e, usualStreams, usualContext)
-	first := milliseconds(1.5*pass + read)
-	// Whether an answer is as long as it may be is not known beforehand: refused
-	// for that, most requests would lose an answer that they could have had.
-	answer := milliseconds(pass * placer.UsualOutput * float64(c.Requirements.Output) / float64(max(1, e.Stride)))
-	leaves := time.Time{}
-	if !c.Requirements.Leaves.IsZero() {
-		leaves = c.Requirements.Leaves.Add(-first - margin)
+	pass := placer.Pass(e, typicalStreams, typicalContext)
+	first := milliseconds(1.5*pass + prefill)
+	// The actual length of the answer is not known in advance. If requests were
+	// refused for the maximum length, most would lose an answer that they could
+	// have had.
+	answer := milliseconds(pass * placer.UsualOutput * float64(r.Requirements.Output) / float64(max(1, e.Stride)))
+	latestUsefulStart := time.Time{}
+	if !r.Requirements.Leaves.IsZero() {
+		latestUsefulStart = r.Requirements.Leaves.Add(-first - latencyMargin)
 	}
-	return times{
-		start:  c.Requirements.Objective.Add(-first - margin),
-		last:   c.Requirements.Deadline.Add(-first - answer),
-		leaves: leaves,
-		takes:  first + answer,
-		long:   long,
-		size:   bits.Len(uint(placer.Read(e, c.Requirements.Prompt, 1) / sizeUnit)),
+	return timing{
+		latestStart:       r.Requirements.Objective.Add(-first - latencyMargin),
+		giveUpAt:          r.Requirements.Deadline.Add(-first - answer),
+		latestUsefulStart: latestUsefulStart,
+		duration:          first + answer,
+		long:              long,
+		sizeClass:         bits.Len(uint(placer.Read(e, r.Requirements.Prompt, 1) / minSizedPrefill)),
 	}
 }
 
-// urgency says what the request may cost others now. One that is late already
-// waits for a place that costs nobody anything, until it must begin.
-func (t times) urgency(now time.Time) placer.Urgency {
+// urgency returns how much the request may cost others now. A late request waits
+// for a slot that costs others nothing, until it must start.
+func (t timing) urgency(now time.Time) placer.Urgency {
 	switch {
-	case t.last.Sub(now) < rush:
+	case t.giveUpAt.Sub(now) < urgentWindow:
 		return placer.Last
 	case t.late(now):
 		return placer.Late
--- a/entry/process/scheduler/wait.go
+++ b/entry/process/scheduler/wait.go
@@ -6,21 +6,22 @@
 	"github.com/heathervane/heathervane/entry/request/placer"
 )
 
-// A reason is why a request waits: what its place lacks, or one of those below.
-type reason int
+// A waitReason is why a request is queued: a placer.Lack, or one of the constants
+// below.
+type waitReason int
 
 const (
-	// waitBehind is that an earlier request for the same places waits.
-	waitBehind = reason(placer.Lacks) + iota
-	// waitSync is that it was not yet known what is under way, or whether
-	// whoever decides can be heard.
+	// waitBlocked means that an earlier request of the same class is queued.
+	waitBlocked = waitReason(placer.Lacks) + iota
+	// waitSync means that the current load was not known yet, or that it was not
+	// known whether the scheduling VM is reachable.
 	waitSync
-	reasons
+	numWaitReasons
 )
 
-// String gives the reason in one word.
-func (r reason) String() string {
-	if r == waitBehind {
+// String returns the reason in one word.
+func (r waitReason) String() string {
+	if r == waitBlocked {
 		return "behind"
 	}
 	if r == waitSync {
@@ -29,44 +30,45 @@
 	return placer.Lack(r).String()
 }
 
-// WaitTimes is how long a request waited, by reason.
-type WaitTimes [reasons]time.Duration
+// WaitTimes is how long a request was queued, by reason.
+type WaitTimes [numWaitReasons]time.Duration
 
-// Longest is the reason for which it waited longest, in one word, and how long;
-// empty where it did not wait.
-func (w WaitTimes) Longest() (why string, long time.Duration) {
-	for r, d := range w {
-		if d > long {
-			why, long = reason(r).String(), d
+// Longest returns the reason for which the request was queued longest, in one word,
+// and for how long. The reason is empty if the request was not queued.
+func (t WaitTimes) Longest() (reason string, longest time.Duration) {
+	for r, d := range t {
+		if d > longest {
+			reason, longest = waitReason(r).String(), d
 		}
 	}
-	return why, long
+	return reason, longest
 }
 
-// A wait adds up why a request waits. Without it one knows of a late prompt that
-// it waited, and not whether engines were missing, or peace for other streams.
-type wait struct {
-	past   WaitTimes
-	reason reason
+// A waitTimer accumulates the time that a request is queued, by reason. The total
+// alone would not show whether a late prompt lacked an engine or was held back to
+// spare other streams.
+type waitTimer struct {
+	total  WaitTimes
+	reason waitReason
 	since  time.Time
 }
 
-// turn notes that it waits for a reason from now on.
-func (w *wait) turn(now time.Time, r reason) {
-	w.past[w.reason] += now.Sub(w.since)
+// switchTo books the time since the last call and sets the reason from now on.
+func (w *waitTimer) switchTo(now time.Time, r waitReason) {
+	w.total[w.reason] += now.Sub(w.since)
 	w.reason, w.since = r, now
 }
 
-// end gives the sum.
-func (w *wait) end(now time.Time) WaitTimes {
-	w.turn(now, w.reason)
-	return w.past
+// stop returns the accumulated wait times.
+func (w *waitTimer) stop(now time.Time) WaitTimes {
+	w.switchTo(now, w.reason)
+	return w.total
 }
 
-// AddRemainder counts what is left of a time that passed as spent in waiting for news.
-func (w *WaitTimes) AddRemainder(passed time.Duration) {
-	for _, d := range w {
-		passed -= d
+// AddRemainder adds the part of elapsed that no reason accounts for to waitSync.
+func (t *WaitTimes) AddRemainder(elapsed time.Duration) {
+	for _, d := range t {
+		elapsed -= d
 	}
-	w[waitSync] += max(0, passed)
+	t[waitSync] += max(0, elapsed)
 }
