--- a/entry/request/placer/bench_test.go
+++ b/entry/request/placer/bench_test.go
@@ -6,19 +6,19 @@
 	"github.com/heathervane/heathervane/entry/request/placer"
 )
 
-// BenchmarkLongPrompt is the cost of one decision about a long prompt among
-// today's engines, which is taken again with each event while it waits.
+// BenchmarkLongPrompt measures one decision about a long prompt. While the prompt
+// waits, the decision is repeated with each event.
 func BenchmarkLongPrompt(b *testing.B) {
 	cs := idle(23)
 	for i := range cs {
-		cs[i].Load = placer.Load{Streams: i % 14, ContextTokens: 8000 * (i % 14), PauseWeights: stakes(i % 14)}
+		cs[i].Load = placer.Load{Streams: i % 14, ContextTokens: 8000 * (i % 14), PauseWeights: pauseWeights(i % 14)}
 	}
 	for b.Loop() {
 		placer.ChooseEngines(engine, long(133_000), cs, now, placer.OnTime)
 	}
 }
 
-// BenchmarkShortPrompt is the cost of placing a short one.
+// BenchmarkShortPrompt measures one decision about a short prompt.
 func BenchmarkShortPrompt(b *testing.B) {
 	cs := idle(23)
 	for b.Loop() {
--- a/entry/request/placer/engine.go
+++ b/entry/request/placer/engine.go
@@ -1,16 +1,15 @@
-// Package placer decides at which upstreams a request runs. It answers long
-// prompts among short ones: an engine works in passes, and everybody who is
-// being answered there waits for whatever prompt the pass reads. Without it a
-// prompt of 130,000 tokens stops every answer at its engine for two seconds;
-// callers of short questions see their streams stand still.
+// Package placer decides at which upstreams a request runs. Its task is to place
+// long prompts next to short ones: an engine works in passes, and every stream at
+// an engine waits for whatever prompt the current pass prefills. Without placement,
+// a prompt of 130,000 tokens stalls all streams at its engine for two seconds.
 //
-// A model of the engine, made from the figures that operators publish, tells
-// how long passes become by a placement. A long prompt is read by several
-// engines in parts, so that no pass grows beyond what short answers bear, and
-// it goes where nothing else is being read.
+// A model of the engine, based on the figures that operators publish, estimates
+// how long passes become with a given placement. A long prompt is split into parts
+// that several engines prefill, so that no pass takes longer than callers with
+// short prompts tolerate, and it goes to engines that are prefilling nothing else.
 //
-// The package decides only: it reads no clock, sends nothing and draws no
-// random numbers but from its arguments.
+// The package only decides: it reads no clock, sends nothing and uses no
+// randomness, so that a decision depends on the arguments alone.
 package placer
 
 import (
@@ -19,9 +18,9 @@
 	"github.com/heathervane/heathervane/entry/version/matcher"
 )
 
-// PrefillTime is how long one engine takes to read its part of a prompt that so many
-// engines read together, in milliseconds. Each part has its share of the pairs
-// of the whole prompt.
+// PrefillTime is how long one engine takes, in milliseconds, to prefill its part of
+// a prompt that is split among the given number of engines. Each part accounts for
+// an equal share of the token pairs of the whole prompt.
 func PrefillTime(e *matcher.Engine, tokens, engines int) float64 {
 	if tokens <= 0 || e.ReadRate <= 0 {
 		return 0
@@ -31,8 +30,8 @@
 	return (n/e.ReadRate + pairs*e.Pairs) / float64(max(1, engines))
 }
 
-// DecodePassTime is how long a pass takes in milliseconds in which so many streams write
-// and nothing is read.
+// DecodePassTime is how long a pass takes, in milliseconds, in which the given
+// streams generate tokens and nothing is prefilled.
 func DecodePassTime(e *matcher.Engine, streams, context int) float64 {
 	if streams <= 0 {
 		return 0
@@ -41,35 +40,35 @@
 	return float64(max(1, e.Stride)) * step
 }
 
-// TimeToFirstToken is an estimate of the time to the first token in milliseconds, for a
-// prompt whose own part takes read there: half of the pass that runs, and the
-// pass that reads the prompt together with all that waits.
-func TimeToFirstToken(e *matcher.Engine, l Load, read float64) float64 {
+// TimeToFirstToken estimates the time to the first token in milliseconds, for a
+// prompt whose own part takes prefill milliseconds there: half of the current pass,
+// and the pass that prefills the prompt together with everything pending.
+func TimeToFirstToken(e *matcher.Engine, l Load, prefill float64) float64 {
 	pass := DecodePassTime(e, l.Streams, l.ContextTokens)
-	return 0.5*pass + l.PendingPrefill + read + math.Max(pass, DecodePassTime(e, 1, 0))
+	return 0.5*pass + l.PendingPrefill + prefill + math.Max(pass, DecodePassTime(e, 1, 0))
 }
 
-// A Load is the work under way at an upstream, from this VM and from the others
-// as far as they have told.
+// Load is the work in progress at an upstream, from this VM and, as far as they
+// have reported it, from other VMs.
 type Load struct {
-	// Streams is the requests that run or wait there.
+	// Streams is the number of requests that run or wait there.
 	Streams int
-	// ContextTokens is the prompt and answer tokens of these requests, which is
-	// also the memory that they take.
+	// ContextTokens is the prompt and output tokens of these requests, and so
+	// also the memory that they use.
 	ContextTokens int
-	// PendingPrefill is the reading time in milliseconds of prompts, and parts of
-	// prompts, whose first token has not come.
+	// PendingPrefill is the prefill time in milliseconds of prompts, and parts
+	// of prompts, whose first token has not arrived.
 	PendingPrefill float64
-	// Starting is the requests that wait there for their first token.
+	// Starting is the number of requests that wait there for their first token.
 	Starting int
-	// Parts is how many parts of long prompts it reads.
+	// Parts is the number of parts of long prompts that it prefills.
 	Parts int
-	// PauseWeights are what the streams there have to lose if they stand still for
-	// longer than their callers bear.
+	// PauseWeights are the weights of the streams there, by the pause that
+	// their callers tolerate.
 	PauseWeights PauseWeights
 }
 
-// Add sums two loads.
+// Add adds a load.
 func (l *Load) Add(o Load) {
 	l.Streams += o.Streams
 	l.ContextTokens += o.ContextTokens
@@ -92,7 +91,7 @@
 		l.PauseWeights[i] -= n
 	}
 	if l.Starting == 0 && l.Parts == 0 {
-		// Nothing is being read, so that sums of fractions leave nothing behind.
+		// Nothing is being prefilled: remove what rounding errors have left.
 		l.PendingPrefill = 0
 	}
 }
--- a/entry/request/placer/placer.go
+++ b/entry/request/placer/placer.go
@@ -9,138 +9,143 @@
 )
 
 const (
-	// shortRead is the reading time in milliseconds up to which a prompt is
-	// read by one engine: below a pass of some streams, a part more or less
-	// changes no pass that anybody notices.
-	shortRead = 100.0
-	// MaxHelpers is the most engines that help to read, the engines' own bound.
+	// maxSinglePrefill is the longest prefill in milliseconds that one engine
+	// does alone. Splitting a shorter one would make no noticeable difference
+	// to the length of any pass.
+	maxSinglePrefill = 100.0
+	// MaxHelpers is how many engines may help with a prefill. The engines
+	// themselves set this limit.
 	MaxHelpers = 16
-	// far is what another availability zone costs in milliseconds: the way
-	// there and back.
-	far = 3.0
-	// failure is what a failed try at an engine counts for in milliseconds. It
-	// is above the longest wait for an engine that answers: one that fails at
-	// once has no work, and is the nearest place in a burst. plainFailure is the
-	// same at a plain service, of whose answers some are failures by themselves.
-	failure      = 10_000.0
-	plainFailure = 300.0
-	// priorAnswers is how many answered requests an upstream is given besides those
-	// that are known, so that one failure after many answers counts for little.
+	// otherZoneCost is the cost in milliseconds of another availability zone:
+	// one network round trip.
+	otherZoneCost = 3.0
+	// failureCost is the cost in milliseconds of a failed attempt at an engine.
+	// It exceeds the longest wait for a working engine: an engine that fails at
+	// once has no work and would otherwise attract every request of a burst.
+	// plainFailureCost is the same for plain services, where some responses
+	// are failures anyway.
+	failureCost      = 10_000.0
+	plainFailureCost = 300.0
+	// priorAnswers is added to the number of answered requests of an upstream,
+	// so that one failure after many answers counts for little.
 	priorAnswers = 1.0
-	// cold is what a cold start counts for in milliseconds.
-	cold = 100.0
-	// leaving is what counts against an upstream that seems to leave, in
-	// milliseconds.
-	leaving = 100.0
-	// plainSlot is the estimated time in milliseconds that each request under
-	// way at a plain service adds for the next.
-	plainSlot = 20.0
-	// memorySpare is the part of an engine's memory that prompts may fill. An
-	// engine whose memory runs out stops its newest stream in the middle and
-	// reads it again.
-	memorySpare = 0.92
-	// smallTicket is the fewest tokens worth setting aside at another engine.
-	smallTicket = 8000
-	// ticketRound is added to what is set aside, as engines keep memory in
-	// blocks.
-	ticketRound = 64
+	// coldCost is the cost in milliseconds of a cold start.
+	coldCost = 100.0
+	// leavingCost is the cost in milliseconds of an upstream that seems to be
+	// shutting down.
+	leavingCost = 100.0
+	// plainRequestCost is the estimated time in milliseconds that each request
+	// in progress at a plain service adds to the next one.
+	plainRequestCost = 20.0
+	// usableMemoryShare is the fraction of an engine's memory that requests may
+	// fill. An engine that runs out of memory preempts its newest stream and
+	// prefills it again.
+	usableMemoryShare = 0.92
+	// minReservation is the fewest tokens worth reserving at another engine.
+	minReservation = 8000
+	// reservationPadding is added to each reservation, in tokens, because
+	// engines allocate memory in blocks.
+	reservationPadding = 64
 )
 
-// A Candidate is an upstream that may get the request.
+// Candidate is an upstream that may get the request.
 type Candidate struct {
 	ID, Zone string
 	Load     Load
 	Slots    int
-	// Quota is how many requests may be sent there now; cold upstreams bear
-	// few. Silent says that connections to it have just failed.
+	// Quota is how many requests may be sent there now; it is small during a
+	// cold start. Unreachable says that connections to it have just failed.
 	Quota       int
 	Cold        bool
 	Unreachable bool
-	// Leaving says that it seems to leave: it helps nobody any more, and a stream
-	// there may be cut.
+	// Leaving says that it seems to be shutting down: it no longer helps with
+	// prefills, and a stream there may be cut off.
 	Leaving bool
-	// Failed and Answered are recent requests of all VMs that failed there or
-	// were answered, older ones counting less.
+	// Failed and Answered count recent requests of all VMs that failed there or
+	// were answered; older ones weigh less.
 	Failed, Answered float64
-	// SameZone says that it is in this VM's zone.
+	// SameZone says that it is in this VM's availability zone.
 	SameZone bool
 }
 
-// An Request is a request for a place.
+// Request is a request to be placed.
 type Request struct {
 	// Prompt and Output are its tokens; zero for plain services.
 	Prompt, Output int
 	// MaxPause is the longest pause between events in milliseconds that its
-	// caller bears.
+	// caller tolerates.
 	MaxPause float64
-	// Objective is when a first event is in time, Deadline when all is over.
-	// CallerTimeout is when the caller leaves without a first event; zero where that
-	// is not known.
+	// Objective is the time by which the first event should arrive, Deadline
+	// the time by which the request must have ended. CallerTimeout is when the
+	// caller hangs up if it has no first event; zero if that is not known.
 	Arrived, Objective, Deadline, CallerTimeout time.Time
-	// Tried are upstreams that have failed this request.
+	// Tried are the IDs of upstreams that have already failed this request.
 	Tried []string
 }
 
-// A Reservation is memory to be set aside at an upstream.
+// Reservation is memory to be reserved at an upstream.
 type Reservation struct {
 	Candidate int
 	Tokens    int
 }
 
-// A Placement says where a request runs: at Main, read with the help of Helpers,
-// with memory set aside at those in Tickets.
+// Placement says where a request runs: at Main, with Helpers sharing the
+// prefill and memory reserved as in Reservations. Main, Helpers and the
+// reservations refer to candidates by index.
 type Placement struct {
 	Main         int
 	Helpers      []int
 	Reservations []Reservation
-	// PrefillTime is each part's reading time in milliseconds.
+	// PrefillTime is the prefill time of each part in milliseconds.
 	PrefillTime float64
-	// TimeToFirstEvent is the estimated time to the first event in milliseconds.
+	// TimeToFirstEvent is estimated, in milliseconds.
 	TimeToFirstEvent float64
-	// Reason says why there is no place, where there is none.
+	// Reason says why no placement was found.
 	Reason Reason
 }
 
-// A Reason is why there is no place for a request: of the conditions that a place
-// must meet, the furthest one at which it fell short.
+// Reason is why a request cannot be placed. A placement must meet several
+// conditions in turn; Reason is the furthest one that failed.
 type Reason int
 
 const (
-	// NoEngine is that no upstream may be used, or none has a slot.
+	// NoEngine means that no upstream may be used, or none has a free slot.
 	NoEngine Reason = iota
-	// NoReader is that those read parts of other long prompts.
+	// NoReader means that the engines are busy with parts of other long
+	// prompts.
 	NoReader
-	// NoMemory is that none, and no group, has the memory.
+	// NoMemory means that no engine, and no group of engines, has the memory.
 	NoMemory
-	// NoHeadroom is that too little would be left for what comes next.
+	// NoHeadroom means that too few slots would be left for later requests.
 	NoHeadroom
-	// TooLate is that the first event would be late.
+	// TooLate means that the first event would be late.
 	TooLate
-	// TooMuchInterference is that too many streams of others would become late.
+	// TooMuchInterference means that too many other streams would be delayed.
 	TooMuchInterference
-	// NumReasons is how many there are.
+	// NumReasons is the number of reasons.
 	NumReasons
 )
 
-// String gives the reason in one word.
-func (l Reason) String() string {
+// String returns the reason as one word.
+func (r Reason) String() string {
 	words := [NumReasons]string{"engine", "reader", "memory", "headroom", "time", "interference"}
-	if l < 0 || l >= NumReasons {
+	if r < 0 || r >= NumReasons {
 		return "unknown"
 	}
-	return words[l]
+	return words[r]
 }
 
-// ChoosePlain chooses among the upstreams of a plain service: the one with the fewest
-// requests for its slots, this zone's first. It says false where all are full.
-func ChoosePlain(a Request, cs []Candidate) (Placement, bool) {
+// ChoosePlain chooses the upstream of a plain service with the lowest estimated
+// cost: few requests in progress, few recent failures, preferably in this zone.
+// It returns false if all are full.
+func ChoosePlain(r Request, cs []Candidate) (Placement, bool) {
 	best, least := -1, math.Inf(1)
 	for i := range cs {
 		c := &cs[i]
 		if c.Quota < 1 || c.Load.Streams >= max(1, c.Slots) {
 			continue
 		}
-		cost := plainSlot*float64(c.Load.Streams) + plainFailure*c.failing() + c.dislike(a)
+		cost := plainRequestCost*float64(c.Load.Streams) + plainFailureCost*c.failureRisk() + c.penalty(r)
 		if cost < least {
 			best, least = i, cost
 		}
@@ -151,56 +156,61 @@
 	return Placement{Main: best, TimeToFirstEvent: least}, true
 }
 
-// dislike is what counts against an upstream beside its work, in milliseconds.
-// Those that failed this request, or cannot be reached, come after all others.
-func (c *Candidate) dislike(a Request) float64 {
+// penalty is the cost of an upstream besides its load, in milliseconds. Upstreams
+// that failed this request, or cannot be reached, come after all others.
+func (c *Candidate) penalty(r Request) float64 {
 	cost := 0.0
 	if !c.SameZone {
-		cost = far
+		cost = otherZoneCost
 	}
 	if c.Cold {
-		cost += cold
+		cost += coldCost
 	}
 	if c.Leaving {
-		cost += leaving
+		cost += leavingCost
 	}
 	if c.Unreachable {
 		cost += 1e5
 	}
-	if slices.Contains(a.Tried, c.ID) {
+	if slices.Contains(r.Tried, c.ID) {
 		cost += 1e6
 	}
 	return cost
 }
 
-// failing is the part of its requests that an upstream seems to fail, squared:
-// one that fails few costs a second try now and then, and one that fails most
-// fails that as well.
-func (c *Candidate) failing() float64 {
+// failureRisk is the squared share of an upstream's recent requests that failed.
+// Squaring keeps the cost of rare failures, a retry now and then, small, while an
+// upstream that fails most requests also fails the retries.
+func (c *Candidate) failureRisk() float64 {
 	p := c.Failed / (c.Failed + c.Answered + priorAnswers)
 	return p * p
 }
 
-// IsShort says that a prompt is read by one engine.
-func IsShort(e *matcher.Engine, prompt int) bool { return PrefillTime(e, prompt, 1) <= shortRead }
+// IsShort reports whether one engine should prefill the prompt alone.
+func IsShort(e *matcher.Engine, prompt int) bool {
+	return PrefillTime(e, prompt, 1) <= maxSinglePrefill
+}
 
-// Urgency says what a request may cost others.
+// Urgency says how much a request may delay others.
 type Urgency int
 
 const (
-	// OnTime requests take only places that are good for all.
+	// OnTime requests can still meet their objective, and take only placements
+	// that delay others little.
 	OnTime Urgency = iota
-	// Late requests can no longer be in time, and stand behind those that can.
+	// Late requests can no longer meet their objective and give way to those
+	// that can.
 	Late
-	// LastChance requests are late and must begin soon to end at all, and may cost
-	// others no more than a late answer is still worth.
+	// LastChance requests are late and must start soon to finish at all. They may
+	// delay others by no more than the value that a late answer still has.
 	LastChance
 )
 
-// ChooseEngines chooses engines for a prompt, or says false where it had better wait.
-func ChooseEngines(e *matcher.Engine, a Request, cs []Candidate, now time.Time, m Urgency) (Placement, bool) {
-	if IsShort(e, a.Prompt) {
-		return single(e, a, cs, now, m)
+// ChooseEngines chooses the engines for a prompt. It returns false if the request
+// should wait.
+func ChooseEngines(e *matcher.Engine, r Request, cs []Candidate, now time.Time, u Urgency) (Placement, bool) {
+	if IsShort(e, r.Prompt) {
+		return chooseSingle(e, r, cs, now, u)
 	}
-	return group(e, a, cs, now, m)
+	return chooseGroup(e, r, cs, now, u)
 }
--- a/entry/request/placer/stake.go
+++ b/entry/request/placer/stake.go
@@ -3,52 +3,56 @@
 import "math"
 
 const (
-	// Steps is how many pauses between two events are told apart, from
-	// shortestPause milliseconds on, perOctave of them until the pause has
-	// doubled: up to 2.7 s, with an error of a sixth at most.
-	Steps         = 24
-	shortestPause = 50.0
-	perOctave     = 4
-	// stakeUnit is the fraction in which stakes are counted. Whole numbers come
-	// back to zero when all that was added is taken off again.
-	stakeUnit = 100
+	// PauseBuckets is the number of buckets into which tolerated pauses are
+	// sorted. The buckets start at shortestPause milliseconds, with
+	// bucketsPerOctave of them until the pause has doubled, and end at 2.7 s;
+	// the error is a sixth at most.
+	PauseBuckets     = 24
+	shortestPause    = 50.0
+	bucketsPerOctave = 4
+	// weightScale is the factor by which weights are multiplied before they
+	// are rounded. Sums of integers return to exactly zero once everything
+	// that was added has been subtracted.
+	weightScale = 100
 )
 
-// PauseWeights are what streams count for, in hundredths, by the pause that their
-// callers bear. They answer callers of any kind on the same engines: which of
-// them lose by a part of a prompt, and how much, follows from what they bear and
-// how long their prompts are.
-type PauseWeights [Steps]int32
+// PauseWeights is a histogram of the weights of streams, in hundredths, by the
+// longest pause that their callers tolerate. It allows for callers with different
+// tolerances at the same engines: which streams a prompt part makes late, and how
+// much that costs, follows from their tolerated pauses and prompt lengths.
+type PauseWeights [PauseBuckets]int32
 
-// limits are the pauses in milliseconds that the steps stand for. A stream whose
-// caller bears less than the shortest is always at stake.
-var limits = func() (all [Steps]float64) {
-	for i := 1; i < Steps; i++ {
-		all[i] = shortestPause * math.Exp2(float64(i)/perOctave)
+// bucketPauses are the pauses in milliseconds that the buckets stand for. Bucket 0
+// stands for no pause: a stream whose caller tolerates less than bucket 1 always
+// counts as delayed.
+var bucketPauses = func() (all [PauseBuckets]float64) {
+	for i := 1; i < PauseBuckets; i++ {
+		all[i] = shortestPause * math.Exp2(float64(i)/bucketsPerOctave)
 	}
 	return all
 }()
 
-// PauseWeights is that of one request, at the longest step that is no longer than the
-// pause that its caller bears.
-func (a Request) PauseWeights() (s PauseWeights) {
-	step := 0
-	if a.MaxPause >= limits[1] {
-		// A pause that is a step's own must not fall below it by rounding.
+// PauseWeights returns the histogram of this request alone: its weight in the last
+// bucket whose pause does not exceed the one that its caller tolerates.
+func (r Request) PauseWeights() (w PauseWeights) {
+	bucket := 0
+	if r.MaxPause >= bucketPauses[1] {
+		// A pause equal to a bucket's must not be rounded into the one before.
 		const rounding = 1e-9
-		step = min(Steps-1, int(perOctave*math.Log2(a.MaxPause/shortestPause)+rounding))
+		bucket = min(PauseBuckets-1, int(bucketsPerOctave*math.Log2(r.MaxPause/shortestPause)+rounding))
 	}
-	s[step] = int32(math.Round(a.weight() * stakeUnit))
-	return s
+	w[bucket] = int32(math.Round(r.weight() * weightScale))
+	return w
 }
 
-// below is what of the stakes is lost by a pass of so many milliseconds.
-func (s *PauseWeights) below(pass float64) float64 {
+// delayedBy returns the sum of the weights of streams whose callers do not tolerate a
+// pass of the given length in milliseconds.
+func (w *PauseWeights) delayedBy(pass float64) float64 {
 	sum := int32(0)
-	for step, n := range s {
-		if n > 0 && pass > pauseSpare*limits[step] {
+	for bucket, n := range w {
+		if n > 0 && pass > usablePauseShare*bucketPauses[bucket] {
 			sum += n
 		}
 	}
-	return float64(sum) / stakeUnit
+	return float64(sum) / weightScale
 }
