--- a/entry/request/ranker/ranker.go
+++ b/entry/request/ranker/ranker.go
@@ -1,12 +1,12 @@
-// Package ranker tells which teams use more than their share of a model now. It
-// answers one team that sends most of the load. The order of waiting keeps such
-// a team's prompts behind the others' here, but those already sent stand on
-// every engine: without a rank the engines read a quiet team's question and a
-// busy team's documents at the same pace, and the quiet team waits for work that
-// was let in only because nobody else was there. The rank goes to the engines as
-// a part of the priority, which they honour.
+// Package ranker determines which teams currently use more than their share of a
+// model. It is for the case that one team sends most of the load. The queue of this
+// VM puts such a team's prompts behind those of others, but prompts already sent
+// occupy every engine: without a rank, the engines would serve a small team's
+// question and a busy team's documents at the same pace, and the small team would
+// wait for work that was admitted only because nobody else was there. The rank is
+// passed to the engines as part of the priority, which they honour.
 //
-// It does not limit anyone: a team alone may use all there is.
+// It limits nobody: a team that is alone may use all capacity.
 package ranker
 
 import (
@@ -15,45 +15,46 @@
 )
 
 const (
-	// memory is the time constant over which use is remembered. Engines hold
-	// work of some seconds; a memory shorter than that would call a team quiet
-	// while its work still stands there, one of minutes would punish a burst
-	// long after it.
-	memory = 10 * time.Second
-	// slack is how many times its share a team may use before it counts as
-	// over it. Below it, the chance of a few long prompts would decide.
-	slack = 1.5
-	// least is the use in tokens below which a team is forgotten.
-	least = 1
+	// decayTime is the time constant with which recorded use decays. Engines hold
+	// work for some seconds: with a shorter time constant a team would count as
+	// quiet while its work still occupies them, and with one of minutes a burst
+	// would count against the team long afterwards.
+	decayTime = 10 * time.Second
+	// tolerance is how many times its share a team may use before it counts as
+	// over its share. With a lower value, a few long prompts would decide by
+	// chance.
+	tolerance = 1.5
+	// minTokens is the use in tokens below which a team is removed.
+	minTokens = 1
 )
 
-// A Ranker keeps the teams' use of one model at one VM. It is not safe for
+// Ranker tracks the teams' use of one model at one VM. It is not safe for
 // concurrent use.
 type Ranker struct {
-	teams map[string]*use
+	teams map[string]*usage
 	// tokens and shares are the sums over all teams, as of at.
 	tokens float64
 	shares int
 	at     time.Time
 }
 
-type use struct {
+type usage struct {
 	tokens float64
 	share  int
 }
 
-// New returns a Ranker that knows no team.
+// New returns a Ranker without any recorded use.
 func New() *Ranker {
-	return &Ranker{teams: make(map[string]*use)}
+	return &Ranker{teams: make(map[string]*usage)}
 }
 
-// Record counts a prompt of a team. All uses decay alike, so that instead of each
-// being made smaller with time, the new ones count for more.
+// Record adds a team's use of tokens. The team's share replaces the one given
+// before.
 func (r *Ranker) Record(now time.Time, team string, share, tokens int) {
-	r.age(now)
+	r.decay(now)
 	u, ok := r.teams[team]
 	if !ok {
-		u = &use{}
+		u = &usage{}
 		r.teams[team] = u
 	}
 	r.shares += share - u.share
@@ -62,22 +63,23 @@
 	r.tokens += float64(tokens)
 }
 
-// age lets all use decay. It costs the number of teams, and so is done in steps
-// of a tenth of the memory, in which use changes by less than the slack.
-func (r *Ranker) age(now time.Time) {
-	passed := now.Sub(r.at)
-	if passed < memory/10 {
+// decay reduces all recorded use by the elapsed time. Its cost is proportional to
+// the number of teams, so that it runs in steps of a tenth of decayTime, in which use
+// changes by less than the tolerance.
+func (r *Ranker) decay(now time.Time) {
+	elapsed := now.Sub(r.at)
+	if elapsed < decayTime/10 {
 		return
 	}
 	if r.at.IsZero() {
-		passed = 0
+		elapsed = 0
 	}
 	r.at = now
-	left := math.Exp(-passed.Seconds() / memory.Seconds())
+	factor := math.Exp(-elapsed.Seconds() / decayTime.Seconds())
 	r.tokens = 0
 	for name, u := range r.teams {
-		u.tokens *= left
-		if u.tokens < least {
+		u.tokens *= factor
+		if u.tokens < minTokens {
 			r.shares -= u.share
 			delete(r.teams, name)
 			continue
@@ -86,14 +88,14 @@
 	}
 }
 
-// OverShare tells whether a team uses more than its share beside the teams that send
-// now.
+// OverShare reports whether a team uses more than its share, relative to the teams
+// with recent use.
 func (r *Ranker) OverShare(now time.Time, team string) bool {
-	r.age(now)
+	r.decay(now)
 	u, ok := r.teams[team]
 	if !ok || r.tokens == 0 || r.shares == 0 {
 		return false
 	}
-	fair := r.tokens * float64(u.share) / float64(r.shares)
-	return u.tokens > slack*fair
+	fairUse := r.tokens * float64(u.share) / float64(r.shares)
+	return u.tokens > tolerance*fairUse
 }
--- a/entry/request/ranker/ranker_test.go
+++ b/entry/request/ranker/ranker_test.go
@@ -10,9 +10,9 @@
 	"github.com/heathervane/heathervane/entry/request/ranker"
 )
 
-// One team sends four fifths of the load. It alone is over its share: its
-// prompts yield to the others' on the engines, and the others' to nobody's.
-func TestOver(t *testing.T) {
+// One team sends four fifths of the load. Only that team is over its share, so that
+// engines rank its prompts behind those of the other teams.
+func TestOverShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := []struct {
 		name   string
@@ -22,11 +22,11 @@
 		over   string
 	}{
 		{"alone", map[string]int{"a": 1}, map[string]int{"a": 9000}, 0, ""},
-		{"alike", map[string]int{"a": 1, "b": 1}, map[string]int{"a": 1000, "b": 1200}, 0, ""},
-		{"one hot team", map[string]int{"a": 1, "b": 1, "c": 1}, map[string]int{"a": 8000, "b": 1000, "c": 1000}, 0, "a"},
-		{"as its share allows", map[string]int{"a": 8, "b": 1, "c": 1}, map[string]int{"a": 8000, "b": 1000, "c": 1000}, 0, ""},
-		{"still remembered", map[string]int{"a": 1, "b": 1, "c": 1}, map[string]int{"a": 8000, "b": 1000, "c": 1000}, 5 * time.Second, "a"},
-		{"long ago", map[string]int{"a": 1, "b": 1, "c": 1}, map[string]int{"a": 8000, "b": 1000, "c": 1000}, 5 * time.Minute, ""},
+		{"equal use", map[string]int{"a": 1, "b": 1}, map[string]int{"a": 1000, "b": 1200}, 0, ""},
+		{"one busy team", map[string]int{"a": 1, "b": 1, "c": 1}, map[string]int{"a": 8000, "b": 1000, "c": 1000}, 0, "a"},
+		{"within its larger share", map[string]int{"a": 8, "b": 1, "c": 1}, map[string]int{"a": 8000, "b": 1000, "c": 1000}, 0, ""},
+		{"not decayed yet", map[string]int{"a": 1, "b": 1, "c": 1}, map[string]int{"a": 8000, "b": 1000, "c": 1000}, 5 * time.Second, "a"},
+		{"decayed", map[string]int{"a": 1, "b": 1, "c": 1}, map[string]int{"a": 8000, "b": 1000, "c": 1000}, 5 * time.Minute, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 			i := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				// 85 requests a second, as one VM has at the users' aim.
+				// One VM gets 85 requests a second at the target number of users.
 				now = now.Add(time.Second / 85)
 				i++
 				r.Record(now, names[i%teams], 1, 1000)
