--- a/entry/request/grouper/grouper.go
+++ b/entry/request/grouper/grouper.go
@@ -1,11 +1,12 @@
-// Package grouper plans groups of engines for prompts that are larger than one
-// engine's memory. It answers two such prompts at once, and fleets too small
-// for one. Without it two groups could each hold half of what they need for
-// ever, and a prompt that no fleet can hold would wait out its whole limit.
+// Package grouper plans groups of engines for prompts that are larger than the
+// memory of one engine. It handles two such prompts at the same time, and fleets too
+// small for one: without it, two groups could deadlock, each holding half of the
+// memory that it needs, and a prompt that no fleet can hold would wait until its
+// time limit.
 //
-// A plan reserves nothing: the caller reserves the parts in the plan's order,
-// which is by name and so the same for all groups, and gives all back where
-// one fails.
+// A plan reserves nothing. The caller reserves the parts in the order of the plan,
+// which is by engine name and so the same for all groups, and releases all of them
+// if one cannot be reserved.
 package grouper
 
 import (
@@ -16,157 +17,161 @@
 	"github.com/heathervane/heathervane/entry/request/router"
 )
 
-// A Part is one engine's part of a prompt.
+// Part is the part of a prompt that one engine holds.
 type Part struct {
-	// Name is the engine's.
+	// Name is the name of the engine.
 	Name string
-	// Tokens is how much of the prompt it reads, in the plan's order.
+	// Tokens is how many tokens of the prompt it prefills, in the order of the
+	// plan.
 	Tokens int
 }
 
-// Codes of an Error.
+// Values of Error.Code.
 const (
-	// Never says that the engines could not hold the prompt even if they were
-	// empty: the ask is refused at once, as not run.
-	Never = "never"
-	// Busy says that they could, but not with what they hold now.
-	Busy = "busy"
+	// CodeTooLarge means that the engines could not hold the prompt even if they
+	// were empty. The request is refused at once, as not run.
+	CodeTooLarge = "never"
+	// CodeBusy means that they could, but not with their current load.
+	CodeBusy = "busy"
 )
 
-// An Error says why there is no plan.
+// Error says why there is no plan.
 type Error struct {
-	// Code is Never or Busy.
+	// Code is CodeTooLarge or CodeBusy.
 	Code string
-	// Need is the memory needed, and Have what there is, in tokens.
+	// Need is the memory needed in tokens. Have is the memory that there is, in
+	// total with CodeTooLarge and free with CodeBusy.
 	Need, Have int
-	// Engines is how many were looked at.
+	// Engines is the number of engines considered.
 	Engines int
 }
 
-// Error gives the reason with its figures.
+// Error returns the code with the figures.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: the prompt needs %d tokens of memory, %d engines have %d",
 		e.Code, e.Need, e.Engines, e.Have)
 }
 
-// A room is what one engine could give.
-type room struct {
-	name, zone string
-	free, most int
+// engineCapacity is the memory of one engine, in tokens, that a plan may use: free
+// now, and in total.
+type engineCapacity struct {
+	name, zone  string
+	free, total int
 }
 
-// Plan gives the parts of a prompt of that many tokens, in the order in which
-// they must be reserved and read; the last engine also holds the answer's
-// output. No more than engineShare of an engine's memory, from 0 to 1, is
-// used, so that short work keeps the rest. All engines are of one availability
-// zone where one has enough, because the cache moves between them. Engines in
-// cold start are taken only where the others cannot hold it: a part is one
-// request, which a cold engine bears, and in a fleet that has just started all
-// of them count as cold. The error is an *Error.
+// Plan returns the parts of a prompt of the given number of tokens, in the order in
+// which they must be reserved and prefilled; the last engine also holds the output.
+// At most engineShare, from 0 to 1, of an engine's memory is used, so that the rest
+// remains for short requests. All engines are in one availability zone if one zone
+// has enough memory, because the KV cache moves between them. Engines in cold start
+// are used only if the others cannot hold the prompt: a part is one request, which a
+// cold engine can take, and in a fleet that has just started all engines are cold.
+// The error is an *Error.
 func Plan(tokens, output int, cs []router.Candidate, engineShare float64) ([]Part, error) {
-	if found, err := plan(tokens, output, cs, engineShare, false); err == nil {
-		return found, nil
+	if best, err := plan(tokens, output, cs, engineShare, false); err == nil {
+		return best, nil
 	}
 	return plan(tokens, output, cs, engineShare, true)
 }
 
 func plan(tokens, output int, cs []router.Candidate, engineShare float64, cold bool) ([]Part, error) {
 	need := tokens + output
-	rooms, have, most := measure(cs, engineShare, cold)
-	e := &Error{Code: Never, Need: need, Have: most, Engines: len(rooms)}
-	if most < need || largest(rooms) <= output {
+	engines, free, capacity := capacities(cs, engineShare, cold)
+	e := &Error{Code: CodeTooLarge, Need: need, Have: capacity, Engines: len(engines)}
+	if capacity < need || largestTotal(engines) <= output {
 		return nil, e
 	}
-	if have >= need {
-		if chosen := choose(rooms, need, output); chosen != nil {
-			return parts(chosen, tokens, output), nil
+	if free >= need {
+		if chosen := chooseEngines(engines, need, output); chosen != nil {
+			return splitPrompt(chosen, tokens, output), nil
 		}
 	}
-	e.Code, e.Have = Busy, have
+	e.Code, e.Have = CodeBusy, free
 	return nil, e
 }
 
-func measure(cs []router.Candidate, engineShare float64, cold bool) (rooms []room, have, most int) {
+func capacities(cs []router.Candidate, engineShare float64, cold bool) (engines []engineCapacity, free, capacity int) {
 	for i := range cs {
 		c := &cs[i]
 		total := int(engineShare * float64(c.Memory))
-		r := room{name: c.Name, zone: c.Zone, most: total}
+		e := engineCapacity{name: c.Name, zone: c.Zone, total: total}
 		if c.Free > 0 && (cold || !c.Cold) {
-			r.free = max(0, min(total, c.Memory-c.Used-c.SentTokens))
+			e.free = max(0, min(total, c.Memory-c.Used-c.SentTokens))
 		}
-		have += r.free
-		most += r.most
-		rooms = append(rooms, r)
+		free += e.free
+		capacity += e.total
+		engines = append(engines, e)
 	}
-	return rooms, have, most
+	return engines, free, capacity
 }
 
-func largest(rooms []room) int {
-	most := 0
-	for _, r := range rooms {
-		most = max(most, r.most)
+func largestTotal(engines []engineCapacity) int {
+	largest := 0
+	for _, e := range engines {
+		largest = max(largest, e.total)
 	}
-	return most
+	return largest
 }
 
-// choose gives the fewest engines that hold it all, by name: of one zone if
-// one has enough, else of all.
-func choose(rooms []room, need, output int) []room {
-	slices.SortFunc(rooms, func(a, b room) int {
+// chooseEngines returns the smallest group that holds the prompt, sorted by name:
+// within one zone if a zone has enough memory, otherwise across all zones.
+func chooseEngines(engines []engineCapacity, need, output int) []engineCapacity {
+	slices.SortFunc(engines, func(a, b engineCapacity) int {
 		return cmp.Or(cmp.Compare(b.free, a.free), cmp.Compare(a.name, b.name))
 	})
-	zones := map[string][]room{}
-	for _, r := range rooms {
-		zones[r.zone] = append(zones[r.zone], r)
+	zones := map[string][]engineCapacity{}
+	for _, e := range engines {
+		zones[e.zone] = append(zones[e.zone], e)
 	}
-	var found []room
-	for _, z := range sorted(zones) {
-		if g := fewest(zones[z], need, output); g != nil && (found == nil || len(g) < len(found)) {
-			found = g
+	var best []engineCapacity
+	for _, zone := range sortedNames(zones) {
+		if group := smallestGroup(zones[zone], need, output); group != nil && (best == nil || len(group) < len(best)) {
+			best = group
 		}
 	}
-	if found == nil {
-		found = fewest(rooms, need, output)
+	if best == nil {
+		best = smallestGroup(engines, need, output)
 	}
-	return found
+	return best
 }
 
-func sorted(zones map[string][]room) []string {
+func sortedNames(zones map[string][]engineCapacity) []string {
 	names := make([]string, 0, len(zones))
-	for z := range zones {
-		names = append(names, z)
+	for name := range zones {
+		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// fewest gives the smallest group that fits, by name. Its last engine must
-// hold the output as well, so that for each engine that could, the roomiest
-// with names before it are taken. The rooms are sorted, the roomiest first.
-func fewest(rooms []room, need, output int) []room {
-	var found []room
-	for _, last := range rooms {
+// smallestGroup returns the smallest group that fits, sorted by name. As the last
+// engine must hold the output as well, each engine that can is tried as the last one,
+// together with those of the smaller names that have the most free memory. The
+// engines must be sorted by free memory, largest first.
+func smallestGroup(engines []engineCapacity, need, output int) []engineCapacity {
+	var best []engineCapacity
+	for _, last := range engines {
 		if last.free <= output {
 			break
 		}
-		g := upTo(last, rooms, need)
-		if g != nil && (found == nil || len(g) < len(found)) {
-			found = g
+		group := groupEndingWith(last, engines, need)
+		if group != nil && (best == nil || len(group) < len(best)) {
+			best = group
 		}
 	}
-	slices.SortFunc(found, func(a, b room) int { return cmp.Compare(a.name, b.name) })
-	return found
+	slices.SortFunc(best, func(a, b engineCapacity) int { return cmp.Compare(a.name, b.name) })
+	return best
 }
 
-// upTo gives a group whose last engine by name is given, or nil.
-func upTo(last room, rooms []room, need int) []room {
-	group, sum := []room{last}, last.free
-	for _, r := range rooms {
-		if sum >= need || r.free == 0 {
+// groupEndingWith returns a group whose last engine by name is the given one, or nil.
+func groupEndingWith(last engineCapacity, engines []engineCapacity, need int) []engineCapacity {
+	group, sum := []engineCapacity{last}, last.free
+	for _, e := range engines {
+		if sum >= need || e.free == 0 {
 			break
 		}
-		if r.name < last.name {
-			group, sum = append(group, r), sum+r.free
+		if e.name < last.name {
+			group, sum = append(group, e), sum+e.free
 		}
 	}
 	if sum < need {
@@ -175,26 +180,26 @@
 	return group
 }
 
-// parts cuts the prompt in proportion to what each engine has free. The last
-// engine, which makes the answer, reads at least one token.
-func parts(group []room, tokens, output int) []Part {
+// splitPrompt splits the prompt in proportion to the engines' free memory. The last
+// engine, which generates the answer, prefills at least one token.
+func splitPrompt(group []engineCapacity, tokens, output int) []Part {
 	last := &group[len(group)-1]
 	last.free -= output + 1
 	sum := 0
-	for _, r := range group {
-		sum += r.free
+	for _, e := range group {
+		sum += e.free
 	}
 	left := tokens - 1
-	ps := make([]Part, 0, len(group))
-	for _, r := range group[:len(group)-1] {
+	parts := make([]Part, 0, len(group))
+	for _, e := range group[:len(group)-1] {
 		n := 0
 		if left > 0 {
-			n = (left*r.free + sum - 1) / sum
+			n = (left*e.free + sum - 1) / sum
 		}
-		left, sum = left-n, sum-r.free
+		left, sum = left-n, sum-e.free
 		if n > 0 {
-			ps = append(ps, Part{Name: r.name, Tokens: n})
+			parts = append(parts, Part{Name: e.name, Tokens: n})
 		}
 	}
-	return append(ps, Part{Name: last.name, Tokens: left + 1})
+	return append(parts, Part{Name: last.name, Tokens: left + 1})
 }
--- a/entry/request/grouper/grouper_test.go
+++ b/entry/request/grouper/grouper_test.go
@@ -34,15 +34,15 @@
 		want           []grouper.Part
 		err            string
 	}{
-		{name: "three of one zone", tokens: 900, output: 60, engines: empty, share: 1, want: []grouper.Part{{"a", 316}, {"b", 316}, {"c", 268}}},
+		{name: "three engines of one zone", tokens: 900, output: 60, engines: empty, share: 1, want: []grouper.Part{{"a", 316}, {"b", 316}, {"c", 268}}},
 		{name: "across zones", tokens: 1300, output: 60, engines: empty, share: 1, want: []grouper.Part{{"a", 338}, {"b", 338}, {"c", 338}, {"d", 286}}},
 		{name: "never fits", tokens: 2000, engines: empty, share: 1, err: "never: the prompt needs 2000 tokens of memory, 4 engines have 1600"},
 		{name: "never fits in the share", tokens: 900, engines: empty, share: 0.5, err: "never: the prompt needs 900 tokens of memory, 4 engines have 800"},
 		{name: "answer fits no engine", tokens: 100, output: 500, engines: empty, share: 1, err: "never: the prompt needs 600 tokens of memory, 4 engines have 1600"},
 		{name: "busy now", tokens: 1300, engines: busy, share: 1, err: "busy: the prompt needs 1300 tokens of memory, 4 engines have 1000"},
-		{name: "cold ones are not taken where others do", tokens: 700, engines: cold, share: 1, want: []grouper.Part{{"b", 350}, {"d", 350}}},
-		{name: "cold ones are taken where others do not", tokens: 900, engines: cold, share: 1, want: []grouper.Part{{"b", 300}, {"c", 300}, {"d", 300}}},
-		{name: "full ones are never taken", tokens: 1300, engines: cold, share: 1, err: "busy: the prompt needs 1300 tokens of memory, 4 engines have 1200"},
+		{name: "cold engines are not used if the others suffice", tokens: 700, engines: cold, share: 1, want: []grouper.Part{{"b", 350}, {"d", 350}}},
+		{name: "cold engines are used if the others do not suffice", tokens: 900, engines: cold, share: 1, want: []grouper.Part{{"b", 300}, {"c", 300}, {"d", 300}}},
+		{name: "full engines are never used", tokens: 1300, engines: cold, share: 1, err: "busy: the prompt needs 1300 tokens of memory, 4 engines have 1200"},
 		{name: "no engines", tokens: 1, share: 1, err: "never: the prompt needs 1 tokens of memory, 0 engines have 0"},
 	}
 	for _, tt := range tests {
@@ -60,9 +60,9 @@
 	}
 }
 
-// A plan holds the whole prompt, no engine more than it has free, and comes in
-// the order of names; and there is one whenever the free memory has enough and
-// the last engine by name can hold the answer.
+// A plan holds the whole prompt, uses no more of an engine than its free memory and
+// is sorted by name. There is a plan whenever the total free memory suffices and the
+// last engine by name can hold the output.
 func TestPlanHoldsAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var cs []router.Candidate
@@ -91,11 +91,11 @@
 				need += output
 			}
 			if need > free[p.Name] {
-				t.Fatalf("%s is given %d and has %d", p.Name, need, free[p.Name])
+				t.Fatalf("%s must hold %d tokens and has %d free", p.Name, need, free[p.Name])
 			}
 		}
 		if sum != tokens || !slices.IsSortedFunc(parts, byName) {
-			t.Fatalf("parts %v of %d tokens", parts, tokens)
+			t.Fatalf("parts %v do not add up to %d tokens, or are not sorted by name", parts, tokens)
 		}
 	})
 }
