--- a/entry/request/fingerprinter/fingerprinter.go
+++ b/entry/request/fingerprinter/fingerprinter.go
@@ -1,6 +1,6 @@
-// Package fingerprinter names what a caller asks for, so that the same request is
-// known again when it comes a second time, at another VM or after a restart. It is
-// no proof against a caller who makes two of its own requests look alike.
+// Package fingerprinter computes fingerprints of requests, so that a request is
+// recognised when it arrives again, at another VM or after a restart. The hash is not
+// cryptographic: it does not stop a caller who makes two of its own requests collide.
 package fingerprinter
 
 import (
@@ -13,21 +13,23 @@
 // Size is the length of a Fingerprint in bytes.
 const Size = 8
 
-// A Fingerprint stands for a caller, a path and a body.
+// Fingerprint identifies a request by the hash of its fields.
 type Fingerprint [Size]byte
 
-// A Request is what makes two requests the same. Their ids differ each time.
+// Request holds the fields by which two requests are the same. The request ID is not
+// among them, as it differs each time.
 type Request struct {
 	Team, Method, Host, Target string
 	Body                       []byte
 }
 
-// Of is a request's fingerprint.
+// Of returns the fingerprint of a request.
 func Of(q *Request) Fingerprint {
 	var f Fingerprint
 	d := xxhash.New()
 	for _, s := range []string{q.Team, q.Method, q.Host, q.Target} {
-		// The separator keeps a path that begins like a host from passing for it.
+		// The separator keeps host "h" with target "/p/" apart from host "h/p" with
+		// target "/".
 		io.WriteString(d, s+"\x00") //nolint:errcheck // a Digest does not fail
 	}
 	d.Write(q.Body) //nolint:errcheck // a Digest does not fail
@@ -35,5 +37,5 @@
 	return f
 }
 
-// String is the form that log lines bear.
+// String returns the fingerprint in hexadecimal, as in log lines.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
--- a/entry/request/fingerprinter/fingerprinter_test.go
+++ b/entry/request/fingerprinter/fingerprinter_test.go
@@ -8,7 +8,8 @@
 	"github.com/heathervane/heathervane/entry/request/fingerprinter"
 )
 
-// A request that is taken for another of its caller is turned away for that one's faults.
+// If two requests of a caller had the same fingerprint, one would be refused for the
+// failures of the other.
 func TestOnlyTheSameRequestHasTheSameFingerprint(t *testing.T) {
 	base := fingerprinter.Request{Team: "t", Method: "POST", Host: "h", Target: "/p/", Body: []byte("body")}
 	same := base
