--- a/entry/request/placer/placer.go
+++ b/entry/request/placer/placer.go
@@ -178,9 +178,9 @@
 	return cost
 }
 
-// failureRisk is the squared share of an upstream's recent requests that failed.
-// Squaring keeps the cost of rare failures, a retry now and then, small, while an
-// upstream that fails most requests also fails the retries.
+// failureRisk is the squared share of an upstream's recent requests that failed. It
+// is squared because rare failures cost only an occasional retry, while an upstream
+// that fails most requests fails the retries as well.
 func (c *Candidate) failureRisk() float64 {
 	p := c.Failed / (c.Failed + c.Answered + priorAnswers)
 	return p * p
