--- a/entry/process/joiner/fold.go
+++ b/entry/process/joiner/fold.go
@@ -115,7 +115,7 @@
 			v.takeOut(c.Zone, c.Out, r.Offset)
 		}
 	}
-	v.allocator.Pump()
+	v.allocator.Dispatch()
 }
 
 // enforce puts a version in force, unless a newer one is: whoever brings it, a
@@ -174,7 +174,7 @@
 		// upstreams while the entries are still being taken in.
 		v.tracker.Outdate(false)
 	}
-	v.allocator.Pump()
+	v.allocator.Dispatch()
 }
 
 func (v *Process) expire(now time.Time) {
@@ -205,7 +205,7 @@
 		return
 	}
 	v.log.Warn().Bool("outdated", outdated).Dur("behind", behind).Msg("list of upstreams")
-	v.allocator.Pump()
+	v.allocator.Dispatch()
 }
 
 // meet folds addresses of VMs.
@@ -315,7 +315,7 @@
 	if leads {
 		return int(part)
 	}
-	return budgeter.Part(part, "cold "+upstream, v.settings.Load().VM, v.gossiper.VMs())
+	return budgeter.Quota(part, "cold "+upstream, v.settings.Load().VM, v.gossiper.VMs())
 }
 
 // idlePart is how many idle connections this VM may keep to an upstream that accepts so
@@ -324,7 +324,7 @@
 	if connections <= 0 {
 		return 0
 	}
-	n := budgeter.Idle(connections, carrier.MostIdle, upstream, v.settings.Load().VM, v.gossiper.VMs())
+	n := budgeter.IdleConnections(connections, carrier.MostIdle, upstream, v.settings.Load().VM, v.gossiper.VMs())
 	if n == 0 {
 		return -1
 	}
--- a/entry/process/joiner/joiner.go
+++ b/entry/process/joiner/joiner.go
@@ -111,8 +111,8 @@
 // A Platform translates a platform's records and calls.
 type Platform interface {
 	syncer.Source
-	reserver.Orderer
-	relayer.Dialect
+	reserver.EngineClient
+	relayer.Protocol
 	// Announce records this VM for the other VMs.
 	Announce(ctx context.Context, m allocator.Member) error
 	// Keep records for the other VMs that a request is held in quarantine, and Drop
@@ -198,30 +198,30 @@
 	if err != nil {
 		return nil, err
 	}
-	me := allocator.Member{VM: s.VM, Address: self, Zone: s.Zone, Power: s.Power}
+	me := allocator.Member{VM: s.VM, Address: self, Zone: s.Zone, Cores: s.Power}
 	v.me = me
 	v.gossiper = gossiper.New(me, v.boot, sender{v.datagrams}, v.ends, time.Now, log)
 	v.gossiper.Listen(v.wake)
-	v.quarantine = quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: log, Spread: func() {
+	v.quarantine = quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: log, Broadcast: func() {
 		v.gossiper.Spread()
 		signal(v.found)
-	}, MayTry: v.mayTry})
+	}, MayRunTrial: v.mayTry})
 	v.gossiper.Share(v.quarantine, v.ticker)
 	v.allocator = allocator.New(me, v.boot, allocator.Deps{
-		Tracker: v.tracker, Sender: sender{v.datagrams}, Timer: v.ticker, Meter: v.meter, Members: v.gossiper.Members, Fleet: v.gossiper.Fleet,
-		Service: v.service, ColdPart: v.coldPart, Now: time.Now, Log: log,
+		Tracker: v.tracker, Sender: sender{v.datagrams}, Timer: v.ticker, Meter: v.meter, Members: v.gossiper.Members, FleetSize: v.gossiper.Fleet,
+		Service: v.service, ColdStartQuota: v.coldPart, Now: time.Now, Log: log,
 	})
 	v.budget = newBudget(v)
 	probes := prober.New(prober.Deps{
 		Tracker: v.tracker, Carrier: v.carrier, Meter: v.meter, Now: time.Now, Log: log,
-		Rejected: func(status int, h http.Header) bool { return p.Verdict(status, h).NotRun },
+		Rejected: func(status int, h http.Header) bool { return p.ParseResponse(status, h).NotRun },
 	})
 	v.relayer = relayer.New(relayer.Deps{
-		Table: v.table.Load, Configured: v.configured, Dialect: p, Allocator: v.allocator, Tracker: v.tracker, Carrier: v.carrier,
-		Reserver: reserver.New(s.VM+"-"+strconv.FormatInt(v.boot, 36)+"-", p, v.lease, log),
-		Idle:     v.idlePart,
-		Prober:   probes, Budget: v.budget, Quarantine: v.quarantine, Bodies: bounder.New(s.Memory / bodyShare), Meter: v.meter, Now: time.Now, Log: log,
-		Leaving: v.leaving,
+		Table: v.table.Load, Configured: v.configured, Protocol: p, Allocator: v.allocator, Tracker: v.tracker, Carrier: v.carrier,
+		Reserver:     reserver.New(s.VM+"-"+strconv.FormatInt(v.boot, 36)+"-", p, v.lease, log),
+		MaxIdleConns: v.idlePart,
+		Prober:       probes, RetryBudget: v.budget, Quarantine: v.quarantine, BodyMemory: bounder.New(s.Memory / bodyShare), Meter: v.meter, Now: time.Now, Log: log,
+		ShuttingDown: v.leaving,
 	})
 	v.acceptor = acceptor.New(v.callers, v, s.Descriptors/callersShare, time.Now, log)
 	v.newSyncers()
@@ -238,7 +238,7 @@
 func (v *Process) gauges() error {
 	for name, value := range map[string]func() int64{
 		"waiting":   func() int64 { return int64(v.allocator.Waiting()) },
-		"groups":    func() int64 { return int64(v.allocator.Leads()) },
+		"groups":    func() int64 { return int64(v.allocator.LedGroups()) },
 		"active":    v.active.Load,
 		"upstreams": func() int64 { return int64(v.tracker.Len()) },
 		"vms":       func() int64 { return int64(len(v.gossiper.VMs())) },
