--- a/entry/process/allocator/allocator.go
+++ b/entry/process/allocator/allocator.go
@@ -134,7 +134,7 @@
 		led: make(map[Group]*led), holders: make(map[netip.AddrPort]*holder), summaries: make(map[Group]*summary),
 		out: make(map[netip.AddrPort]*message), deputies: make(map[Group]map[netip.AddrPort]time.Time),
 	}
-	d.Tracker.Listen(a.found)
+	d.Tracker.SetListener(a.found)
 	d.Timer.Subscribe(restEvery, a.Tick)
 	return a
 }
@@ -273,7 +273,7 @@
 
 // found tells leaders what this VM's requests have found out about an upstream.
 func (a *Allocator) found(e tracker.Event) {
-	if len(e.Upstreams) == 0 || e.Finding == tracker.FoundAnswering {
+	if len(e.Upstreams) == 0 || e.Finding == tracker.FoundAnswer {
 		// That a place has begun says as much.
 		return
 	}
@@ -375,13 +375,13 @@
 // sizes decides whether a service's upstreams are in groups by zone, and gives
 // how many each zone has.
 func (a *Allocator) sizes(service string) map[string]int {
-	switch listed := a.deps.Tracker.Listed(service); {
+	switch listed := a.deps.Tracker.CountListed(service); {
 	case listed > mostGroup:
 		a.split[service] = true
 	case listed < leastSplit && listed > 0:
 		delete(a.split, service)
 	}
-	return a.deps.Tracker.Sizes(service)
+	return a.deps.Tracker.CountUsableByZone(service)
 }
 
 // leads says that this VM leads a group by its own view.
--- a/entry/process/allocator/allocator_test.go
+++ b/entry/process/allocator/allocator_test.go
@@ -190,7 +190,7 @@
 // second. Whoever begins to lead places nothing there until that is over.
 func TestNewLeaderSparesColdUpstreams(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z"}, 1)
-	n.vms[0].tracker.TurnedCold(n.now, "u0", time.Minute)
+	n.vms[0].tracker.ReportCold(n.now, "u0", time.Minute)
 	waits := n.vms[1].Submit(n.call())
 	n.run(time.Second)
 	p, _ := waits.Poll()
@@ -203,9 +203,9 @@
 // What one VM's requests find out about an upstream spares the requests of all.
 func TestFindingsReachTheLeader(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z"}, 2)
-	n.vms[1].tracker.Failed(n.now, "u0", true)
+	n.vms[1].tracker.ReportFailure(n.now, "u0", true)
 	n.run(10 * time.Millisecond)
-	assert.DeepEqual(t, n.vms[0].tracker.Silent(n.now), []string{"u0"})
+	assert.DeepEqual(t, n.vms[0].tracker.Unreachable(n.now), []string{"u0"})
 }
 
 // All callers come to one zone of three, whose engines are few. They are placed at
@@ -230,7 +230,7 @@
 	}
 	assert.Assert(t, zones["a"] >= 6 && zones["b"]+zones["c"] >= 4, "%v", zones)
 	for _, v := range n.vms {
-		v.tracker.TakeOut(map[string]bool{"a": true})
+		v.tracker.SetDisabledZones(map[string]bool{"a": true})
 	}
 	assert.Assert(t, n.place(0, 100*time.Millisecond).Upstream.Zone != "a")
 }
@@ -245,7 +245,7 @@
 	}
 	n.place(1, soon)
 	for _, v := range n.vms {
-		v.tracker.TakeOut(map[string]bool{"a": true})
+		v.tracker.SetDisabledZones(map[string]bool{"a": true})
 	}
 	assert.Equal(t, n.place(3, soon).Leader, "vm1")
 
@@ -270,7 +270,7 @@
 	n.blocked[[2]int{1, 0}] = true
 	for i := range 3 * 66 {
 		if i%2 == 0 {
-			n.vms[0].tracker.Failed(n.now, "x"+string(rune('A'+i%66)), true)
+			n.vms[0].tracker.ReportFailure(n.now, "x"+string(rune('A'+i%66)), true)
 		}
 	}
 	n.place(1, soon)
@@ -296,7 +296,7 @@
 	n.place(1, soon)
 	n.run(500 * time.Millisecond)
 	for i := 0; i < 66; i += 2 {
-		n.vms[0].tracker.Failed(n.now, "x"+string(rune('A'+i)), true)
+		n.vms[0].tracker.ReportFailure(n.now, "x"+string(rune('A'+i)), true)
 	}
 	n.run(250 * time.Millisecond)
 	lost := 0
--- a/entry/process/allocator/asker.go
+++ b/entry/process/allocator/asker.go
@@ -85,7 +85,7 @@
 		a.last++
 		o.id, o.since = a.last, now
 		o.call.Zone, o.call.StopsAt = a.me.Zone, a.stop
-		o.call.Unreachable = a.deps.Tracker.Silent(now)
+		o.call.Unreachable = a.deps.Tracker.Unreachable(now)
 		o.group = a.choose(c.Service.Name, a.me.Zone)
 		a.asks[o.id] = o
 		a.send(now, o)
--- a/entry/process/allocator/leader.go
+++ b/entry/process/allocator/leader.go
@@ -219,7 +219,7 @@
 		return
 	}
 	for i := range m.Events {
-		a.deps.Tracker.Learn(now, m.Events[i].event())
+		a.deps.Tracker.MergeEvent(now, m.Events[i].event())
 	}
 	a.learnLimits(now, m.Limits)
 	for _, id := range m.Left {
@@ -230,7 +230,7 @@
 	for _, id := range m.Began {
 		if p, ok := h.holds[id]; ok {
 			p.grant.MarkStarted()
-			a.deps.Tracker.Learn(now, tracker.Event{Finding: tracker.FoundAnswering, Upstreams: []string{p.grant.Workload.Main}})
+			a.deps.Tracker.MergeEvent(now, tracker.Event{Finding: tracker.FoundAnswer, Upstreams: []string{p.grant.Workload.Main}})
 		}
 	}
 	for _, id := range m.Ended {
--- a/entry/process/allocator/limit.go
+++ b/entry/process/allocator/limit.go
@@ -48,7 +48,7 @@
 func (a *Allocator) learnLimits(now time.Time, all []wireLimit) {
 	for i := range all {
 		w := &all[i]
-		if old, changed := a.deps.Tracker.Learned(w.Upstream, w.limit(now)); changed {
+		if old, changed := a.deps.Tracker.MergeLimit(w.Upstream, w.limit(now)); changed {
 			a.deps.Log.Info().Str("upstream", w.Upstream).Bool("limited", w.Limited).Float64("rate", w.Rate).
 				Float64("before", old.Rate).Int64("age", w.Age).Msg("limit of an upstream")
 		}
--- a/entry/process/allocator/limit_test.go
+++ b/entry/process/allocator/limit_test.go
@@ -138,7 +138,7 @@
 			} else if l.told[s.vm].IsZero() {
 				l.told[s.vm] = l.n.now
 			}
-			v.tracker.Limit("u0", word)
+			v.tracker.ReportLimit("u0", word)
 		}
 		s.place.Release()
 	}
--- a/entry/process/allocator/overflow.go
+++ b/entry/process/allocator/overflow.go
@@ -39,7 +39,7 @@
 	}
 	a.summedAt = now
 	for service := range a.split {
-		zones := a.deps.Tracker.Sizes(service)
+		zones := a.deps.Tracker.CountUsableByZone(service)
 		for zone := range zones {
 			if g := (Group{service, zone}); a.leads(now, g) {
 				a.share(now, a.schedulerOf(g), zones)
@@ -68,7 +68,7 @@
 	sum := summary{at: now}
 	work := l.scheduler.Loads()
 	for _, u := range a.deps.Tracker.Usable(now, l.group.Service) {
-		if u.Zone != l.group.Zone || now.Before(u.SilentUntil) {
+		if u.Zone != l.group.Zone || now.Before(u.UnreachableUntil) {
 			continue
 		}
 		sum.engines++
--- a/entry/process/allocator/restart_test.go
+++ b/entry/process/allocator/restart_test.go
@@ -43,10 +43,10 @@
 // milliseconds. It must not be skipped for the next second, in which two would lead.
 func TestLeaderThatStartsIsNotSkipped(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
-	n.vms[0].tracker.Outdate(true)
+	n.vms[0].tracker.SetOutdated(true)
 	o := n.vms[1].Submit(n.call())
 	n.run(40 * time.Millisecond)
-	n.vms[0].tracker.Outdate(false)
+	n.vms[0].tracker.SetOutdated(false)
 	n.run(40 * time.Millisecond)
 	p, _ := o.Poll()
 	assert.Assert(t, p != nil)
@@ -58,7 +58,7 @@
 func TestLeaderWithoutAListIsSkippedLater(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
 	n.run(time.Second)
-	n.vms[0].tracker.Outdate(true)
+	n.vms[0].tracker.SetOutdated(true)
 	p := n.place(2, soon)
 	assert.Equal(t, p.Leader, "vm1")
 }
--- a/entry/process/bounder/bounder.go
+++ b/entry/process/bounder/bounder.go
@@ -17,8 +17,8 @@
 	return &Bounder{total: total}
 }
 
-// Take takes n of the total, or nothing and false where that much is not left.
-func (b *Bounder) Take(n int64) bool {
+// TryAcquire takes n of the total, or nothing and false where that much is not left.
+func (b *Bounder) TryAcquire(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n < 0 || b.used+n > b.total {
@@ -28,8 +28,8 @@
 	return true
 }
 
-// Give returns n that Take took.
-func (b *Bounder) Give(n int64) {
+// Release returns n that TryAcquire took.
+func (b *Bounder) Release(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.used -= n
--- a/entry/process/joiner/fold.go
+++ b/entry/process/joiner/fold.go
@@ -63,9 +63,9 @@
 func (v *Process) newSyncers() {
 	held, every := v.settings.Load().Bounds.Readings()
 	for _, s := range []syncer.Stream{
-		{Name: Configuration, Wait: held, Stale: held + staleAfter, Behind: configurationBehind, Shared: true},
-		{Name: Upstreams, Every: every, Stale: every + staleAfter, Shared: true},
-		{Name: VMs, Every: vmsEvery, Stale: 2 * vmsEvery, Shared: true},
+		{Name: Configuration, Wait: held, StaleAfter: held + staleAfter, MaxLag: configurationBehind, Shared: true},
+		{Name: Upstreams, Interval: every, StaleAfter: every + staleAfter, Shared: true},
+		{Name: VMs, Interval: vmsEvery, StaleAfter: 2 * vmsEvery, Shared: true},
 	} {
 		s.Copy = v.copies[s.Name]
 		v.syncers = append(v.syncers, syncer.New(s, v.platform, fetcher{v.gossiper}, time.Now, v.log))
@@ -140,7 +140,7 @@
 	for name, is := range v.zones {
 		zones[name] = is
 	}
-	v.tracker.TakeOut(zones)
+	v.tracker.SetDisabledZones(zones)
 	v.log.Info().Str("zone", zone).Bool("out", out).Int64("offset", offset).Msg("zone of upstreams")
 }
 
@@ -149,7 +149,7 @@
 	now := time.Now()
 	lapsing := gap > outage
 	for _, r := range rs {
-		if r.Dropped {
+		if r.Deleted {
 			if v.tracker.Remove(now, r.Key, lapsing) {
 				v.matters(Upstreams, r)
 				v.log.Info().Str("upstream", r.Key).Int64("offset", r.Offset).Bool("lapsed", lapsing).Dur("silence", gap).Msg("upstream gone from the list")
@@ -166,13 +166,13 @@
 		if v.tracker.Put(now, u) {
 			v.matters(Upstreams, r)
 			v.log.Info().Str("upstream", u.ID).Str("service", u.Service).Str("zone", u.Zone).Str("address", u.Address).
-				Bool("draining", u.Draining).Dur("cold", u.Cold).Int64("born", u.Born).Int64("offset", r.Offset).Msg("upstream")
+				Bool("draining", u.Draining).Dur("cold", u.Cold).Int64("born", u.StartedAt).Int64("offset", r.Offset).Msg("upstream")
 		}
 	}
 	if v.listed.CompareAndSwap(false, true) {
 		// Not before: a request that waits for the list would be refused for want of
 		// upstreams while the entries are still being taken in.
-		v.tracker.Outdate(false)
+		v.tracker.SetOutdated(false)
 	}
 	v.allocator.Dispatch()
 }
@@ -195,13 +195,13 @@
 // no list yet would refuse what it could serve a moment later.
 func (v *Process) watch() {
 	for name, c := range v.copies {
-		c.Heard(v.gossiper.Answered(name))
+		c.RecordAnswer(v.gossiper.Answered(name))
 	}
 	copied := v.copies[Upstreams]
-	behind := copied.Behind()
+	behind := copied.Lag()
 	_, asOf := copied.End()
 	outdated := asOf.IsZero() || behind > time.Duration(outdatedShare*float64(v.settings.Load().Bounds.Drain))
-	if !v.tracker.Outdate(outdated) {
+	if !v.tracker.SetOutdated(outdated) {
 		return
 	}
 	v.log.Warn().Bool("outdated", outdated).Dur("behind", behind).Msg("list of upstreams")
@@ -211,7 +211,7 @@
 // meet folds addresses of VMs.
 func (v *Process) meet(rs []replicator.Record, _ time.Duration) {
 	for _, r := range rs {
-		if v.hold(r) || r.Dropped {
+		if v.hold(r) || r.Deleted {
 			continue
 		}
 		m, err := v.platform.Peer(r)
@@ -250,7 +250,7 @@
 	if err != nil {
 		v.log.Warn().Err(err).Msg("list of VMs not read")
 	} else {
-		v.copies[VMs].Complete(rs, end, time.Now())
+		v.copies[VMs].MergeSnapshot(rs, end, time.Now())
 	}
 	v.gossiper.Greet()
 	if own := v.own.Load(); own == nil || *own != v.me {
--- a/entry/process/joiner/joiner.go
+++ b/entry/process/joiner/joiner.go
@@ -187,7 +187,7 @@
 	}
 	v.settings.Store(&s)
 	// No list is one that is too old.
-	v.tracker.Outdate(true)
+	v.tracker.SetOutdated(true)
 	if err := v.open(s); err != nil {
 		return nil, err
 	}
--- a/entry/process/joiner/quarantine.go
+++ b/entry/process/joiner/quarantine.go
@@ -64,7 +64,7 @@
 		return true
 	}
 	v.matters(VMs, r)
-	if r.Dropped {
+	if r.Deleted {
 		v.quarantine.Lift(q.Fingerprint)
 		v.dropping.done(q.Fingerprint)
 		return true
--- a/entry/process/keeper/keeper.go
+++ b/entry/process/keeper/keeper.go
@@ -69,11 +69,11 @@
 	return &Keeper{deps: d, change: make(chan struct{}, 1), look: make(chan struct{}, 1)}
 }
 
-// Keep says what is kept. It is called once, before Run.
-func (k *Keeper) Keep(q Quarantine) { k.kept = q }
+// SetQuarantine says what is kept. It is called once, before Run.
+func (k *Keeper) SetQuarantine(q Quarantine) { k.kept = q }
 
-// Spread has changes appended soon.
-func (k *Keeper) Spread() { signal(k.change) }
+// ScheduleAppend has changes appended soon.
+func (k *Keeper) ScheduleAppend() { signal(k.change) }
 
 func signal(c chan struct{}) {
 	select {
--- a/entry/process/keeper/keeper_test.go
+++ b/entry/process/keeper/keeper_test.go
@@ -81,8 +81,8 @@
 	t.Helper()
 	clock := ticker.New(time.Now, time.Millisecond)
 	k := keeper.New(keeper.Deps{Log: l, Ticker: clock, Logger: zerolog.Nop()})
-	q = quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: k.Spread, MayRunTrial: nobody})
-	k.Keep(q)
+	q = quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: k.ScheduleAppend, MayRunTrial: nobody})
+	k.SetQuarantine(q)
 	ctx, cancel := context.WithCancel(t.Context())
 	var parts sync.WaitGroup
 	parts.Go(func() { clock.Run(ctx) })
--- a/entry/process/pager/pager.go
+++ b/entry/process/pager/pager.go
@@ -96,7 +96,7 @@
 	h := w.Header()
 	h.Set(endHeader, strconv.FormatInt(state.End, 10))
 	h.Set(ageHeader, strconv.FormatInt(p.now().Sub(state.AsOf).Milliseconds(), 10))
-	h.Set(wholeHeader, strconv.FormatBool(state.Whole))
+	h.Set(wholeHeader, strconv.FormatBool(state.Snapshot))
 	if body.packed {
 		h.Set("Content-Encoding", "gzip")
 	}
@@ -180,7 +180,7 @@
 	var failed [3]error
 	p.End, failed[0] = strconv.ParseInt(h.Get(endHeader), 10, 64)
 	age, failed[1] = strconv.ParseInt(h.Get(ageHeader), 10, 64)
-	p.Whole, failed[2] = strconv.ParseBool(h.Get(wholeHeader))
+	p.Snapshot, failed[2] = strconv.ParseBool(h.Get(wholeHeader))
 	if err = errors.Join(failed[:]...); err != nil {
 		return replicator.Page{}, Error.Wrap(err)
 	}
--- a/entry/process/pager/pager_test.go
+++ b/entry/process/pager/pager_test.go
@@ -47,14 +47,14 @@
 // compressor for each, a small VM would run out of memory.
 func TestSameRecordsAreEncodedOnce(t *testing.T) {
 	c := newCopy()
-	c.Complete(records(200), 200, time.Now())
+	c.MergeSnapshot(records(200), 200, time.Now())
 	at, m := serve(t, c)
 	var all sync.WaitGroup
 	for range 40 {
 		all.Go(func() {
 			p, err := pager.Fetch(t.Context(), at, "s", 0, time.Now)
 			assert.Check(t, err)
-			assert.Check(t, len(p.Records) == 200 && p.End == 200 && p.Whole)
+			assert.Check(t, len(p.Records) == 200 && p.End == 200 && p.Snapshot)
 		})
 	}
 	all.Wait()
@@ -64,7 +64,7 @@
 // A record that came since must not be held back by what was encoded before.
 func TestNewRecordsAreServed(t *testing.T) {
 	c := newCopy()
-	c.Complete(records(3), 3, time.Now())
+	c.MergeSnapshot(records(3), 3, time.Now())
 	at, _ := serve(t, c)
 	_, err := pager.Fetch(t.Context(), at, "s", 0, time.Now)
 	assert.NilError(t, err)
@@ -76,14 +76,14 @@
 	p, err = pager.Fetch(t.Context(), at, "s", 3, time.Now)
 	assert.NilError(t, err)
 	assert.Equal(t, len(p.Records), 1)
-	assert.Assert(t, !p.Whole)
+	assert.Assert(t, !p.Snapshot)
 }
 
 // What a peer has is as old as the platform's word to it, also where it was encoded
 // long before: told as fresh, an old list would be used on.
 func TestAgeIsThatOfTheCopy(t *testing.T) {
 	c := newCopy()
-	c.Complete(records(1), 1, time.Now().Add(-2*time.Second))
+	c.MergeSnapshot(records(1), 1, time.Now().Add(-2*time.Second))
 	at, _ := serve(t, c)
 	for range 2 {
 		p, err := pager.Fetch(t.Context(), at, "s", 0, time.Now)
@@ -107,7 +107,7 @@
 // configuration has some hundred kilobytes.
 func BenchmarkHundredVMs(b *testing.B) {
 	c := newCopy()
-	c.Complete(records(300), 300, time.Now())
+	c.MergeSnapshot(records(300), 300, time.Now())
 	at, _ := serve(b, c)
 	b.ReportAllocs()
 	for range b.N {
--- a/entry/process/prober/prober.go
+++ b/entry/process/prober/prober.go
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
 	defer cancel()
 	states := slices.DeleteFunc(p.deps.Tracker.Usable(r.began, s.Name), func(u tracker.State) bool {
-		return r.began.Before(u.ColdUntil) || r.began.Before(u.LeavesUntil)
+		return r.began.Before(u.ColdUntil) || r.began.Before(u.LeavingUntil)
 	})
 	states = states[:min(len(states), most)]
 	leaving := make([]bool, len(states))
@@ -115,7 +115,7 @@
 	var found []string
 	for i := range states {
 		if leaving[i] {
-			p.deps.Tracker.Leaves(p.deps.Now(), states[i].ID)
+			p.deps.Tracker.ReportLeaving(p.deps.Now(), states[i].ID)
 			found = append(found, states[i].ID)
 		}
 	}
--- a/entry/process/prober/prober_test.go
+++ b/entry/process/prober/prober_test.go
@@ -38,7 +38,7 @@
 
 func leaves(known *tracker.Tracker, id string) bool {
 	u, _ := known.Get(id)
-	return time.Now().Before(u.LeavesUntil)
+	return time.Now().Before(u.LeavingUntil)
 }
 
 // An upstream that is busy or full, or cannot be reached, must not count as one that
--- a/entry/process/replicator/replicator.go
+++ b/entry/process/replicator/replicator.go
@@ -21,8 +21,8 @@
 	// Value is empty where the key was dropped.
 	Value  []byte `cbor:"2,keyasint,omitempty"`
 	Offset int64  `cbor:"3,keyasint"`
-	// Dropped says that the key has no value any more.
-	Dropped bool `cbor:"4,keyasint,omitempty"`
+	// Deleted says that the key has no value any more.
+	Deleted bool `cbor:"4,keyasint,omitempty"`
 }
 
 // A Copy is one VM's copy of the records of one stream.
@@ -83,18 +83,18 @@
 	c.changed(taken, gap)
 }
 
-// Heard notes that the platform answered some VM at a time. What went from the
+// RecordAnswer notes that the platform answered some VM at a time. What went from the
 // list since then went while the platform was there, however late this copy
 // learns of it.
-func (c *Copy) Heard(at time.Time) {
+func (c *Copy) RecordAnswer(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silences.heard(at)
 }
 
-// Behind is by how much this copy is older than the platform's last answer to
+// Lag is by how much this copy is older than the platform's last answer to
 // anybody.
-func (c *Copy) Behind() time.Duration {
+func (c *Copy) Lag() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.asOf.IsZero() {
@@ -103,8 +103,8 @@
 	return max(0, c.silences.last.Sub(c.asOf))
 }
 
-// Read notes that the platform confirmed the copy's end to this VM itself.
-func (c *Copy) Read(at time.Time) {
+// MarkRead notes that the platform confirmed the copy's end to this VM itself.
+func (c *Copy) MarkRead(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readAt = at
@@ -127,9 +127,9 @@
 	}
 }
 
-// Complete drops every key that a whole reading of the stream did not bring:
+// MergeSnapshot drops every key that a whole reading of the stream did not bring:
 // the platform may forget a dropped key's record before this VM saw it.
-func (c *Copy) Complete(rs []Record, end int64, asOf time.Time) {
+func (c *Copy) MergeSnapshot(rs []Record, end int64, asOf time.Time) {
 	whole := slices.Clone(rs)
 	have := make(map[string]bool, len(rs))
 	for _, r := range rs {
@@ -138,8 +138,8 @@
 	c.mu.Lock()
 	for key, r := range c.records {
 		// A record at or above end was written after the reading began.
-		if !have[key] && !r.Dropped && r.Offset < end {
-			whole = append(whole, Record{Key: key, Offset: end - 1, Dropped: true})
+		if !have[key] && !r.Deleted && r.Offset < end {
+			whole = append(whole, Record{Key: key, Offset: end - 1, Deleted: true})
 		}
 	}
 	c.floor = max(c.floor, end)
@@ -161,9 +161,9 @@
 	// End is the offset below which nothing is missing, as it was at AsOf.
 	End  int64
 	AsOf time.Time
-	// Whole says that these are all keys that have a value, and not only what
+	// Snapshot says that these are all keys that have a value, and not only what
 	// changed: whoever takes it must drop the others.
-	Whole bool
+	Snapshot bool
 }
 
 // A State is what a copy holds from an offset on, without the records.
@@ -171,16 +171,16 @@
 	// Changes grows whenever the records may be others.
 	Changes int64
 	// End, AsOf and Whole are those of a Page.
-	End   int64
-	AsOf  time.Time
-	Whole bool
+	End      int64
+	AsOf     time.Time
+	Snapshot bool
 }
 
 // State tells of the records from an offset on.
 func (c *Copy) State(from int64) State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return State{Changes: c.changes, End: c.end, AsOf: c.asOf, Whole: from < c.floor}
+	return State{Changes: c.changes, End: c.end, AsOf: c.asOf, Snapshot: from < c.floor}
 }
 
 // Since are the records from an offset on. A copy that was read whole after that
@@ -189,9 +189,9 @@
 func (c *Copy) Since(from int64) Page {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := Page{End: c.end, AsOf: c.asOf, Whole: from < c.floor}
+	p := Page{End: c.end, AsOf: c.asOf, Snapshot: from < c.floor}
 	for _, r := range c.records {
-		if r.Offset >= from || (p.Whole && !r.Dropped) {
+		if r.Offset >= from || (p.Snapshot && !r.Deleted) {
 			p.Records = append(p.Records, r)
 		}
 	}
@@ -199,10 +199,10 @@
 	return p
 }
 
-// Take takes another copy's page in.
-func (c *Copy) Take(p Page) {
-	if p.Whole {
-		c.Complete(p.Records, p.End, p.AsOf)
+// MergePage takes another copy's page in.
+func (c *Copy) MergePage(p Page) {
+	if p.Snapshot {
+		c.MergeSnapshot(p.Records, p.End, p.AsOf)
 		return
 	}
 	c.Merge(p.Records, p.End, p.AsOf)
--- a/entry/process/replicator/replicator_test.go
+++ b/entry/process/replicator/replicator_test.go
@@ -34,7 +34,7 @@
 				r := replicator.Record{
 					Key:     rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key"),
 					Offset:  rapid.Int64Range(1, 40).Draw(t, "offset"),
-					Dropped: rapid.SampledFrom([]bool{true, false}).Draw(t, "dropped"),
+					Deleted: rapid.SampledFrom([]bool{true, false}).Draw(t, "dropped"),
 				}
 				rs = append(rs, r)
 				newest[r.Key] = max(newest[r.Key], r.Offset)
@@ -56,12 +56,12 @@
 	dropped := map[string]bool{}
 	c := replicator.New(func(rs []replicator.Record, _ time.Duration) {
 		for _, r := range rs {
-			dropped[r.Key] = r.Dropped
+			dropped[r.Key] = r.Deleted
 		}
 	})
 	c.Merge([]replicator.Record{{Key: "a", Offset: 1}, {Key: "b", Offset: 2}}, 3, now)
 	c.Merge([]replicator.Record{{Key: "new", Offset: 12}}, 0, now)
-	c.Complete([]replicator.Record{{Key: "b", Offset: 2}}, 10, now)
+	c.MergeSnapshot([]replicator.Record{{Key: "b", Offset: 2}}, 10, now)
 	assert.DeepEqual(t, dropped, map[string]bool{"a": true, "b": false, "new": false})
 	end, asOf := c.End()
 	assert.Equal(t, end, int64(10))
@@ -78,7 +78,7 @@
 	assert.Equal(t, p.Records[0].Key, "b")
 	assert.Equal(t, p.End, int64(6))
 	assert.Equal(t, p.AsOf, now)
-	assert.Assert(t, !p.Whole)
+	assert.Assert(t, !p.Snapshot)
 	c.Merge(nil, 4, now.Add(time.Second))
 	_, asOf := c.End()
 	assert.Equal(t, asOf, now, "an older end confirms nothing")
@@ -104,20 +104,20 @@
 	dropped := map[string]bool{}
 	old := replicator.New(func(rs []replicator.Record, _ time.Duration) {
 		for _, r := range rs {
-			dropped[r.Key] = r.Dropped
+			dropped[r.Key] = r.Deleted
 		}
 	})
-	old.Complete([]replicator.Record{{Key: "a", Offset: 1}, {Key: "gone", Offset: 2}}, 3, now)
+	old.MergeSnapshot([]replicator.Record{{Key: "a", Offset: 1}, {Key: "gone", Offset: 2}}, 3, now)
 	fresh := replicator.New(func([]replicator.Record, time.Duration) {})
-	fresh.Complete([]replicator.Record{{Key: "a", Offset: 1}}, 4, now.Add(time.Second))
+	fresh.MergeSnapshot([]replicator.Record{{Key: "a", Offset: 1}}, 4, now.Add(time.Second))
 	page := fresh.Since(3)
-	assert.Assert(t, page.Whole)
-	old.Take(page)
+	assert.Assert(t, page.Snapshot)
+	old.MergePage(page)
 	assert.DeepEqual(t, dropped, map[string]bool{"a": false, "gone": true})
 	end, _ := old.End()
 	assert.Equal(t, end, int64(4))
 	old.Merge([]replicator.Record{{Key: "b", Offset: 4}}, 5, now.Add(2*time.Second))
-	assert.Assert(t, !old.Since(4).Whole, "from there on nothing is missing")
+	assert.Assert(t, !old.Since(4).Snapshot, "from there on nothing is missing")
 }
 
 // Copies that read the platform, read each other, start anew and fall behind, in
@@ -131,7 +131,7 @@
 				last[r.Key] = r
 			}
 			for _, r := range last {
-				if !r.Dropped {
+				if !r.Deleted {
 					rs = append(rs, r)
 				}
 			}
@@ -145,10 +145,10 @@
 			has[i] = held
 			copies[i] = replicator.New(func(rs []replicator.Record, _ time.Duration) {
 				for _, r := range rs {
-					held[r.Key] = !r.Dropped
+					held[r.Key] = !r.Deleted
 				}
 			})
-			copies[i].Complete(newest(), int64(len(log)), now)
+			copies[i].MergeSnapshot(newest(), int64(len(log)), now)
 		}
 		for i := range copies {
 			start(i)
@@ -158,7 +158,7 @@
 			switch rapid.SampledFrom([]int{0, 1, 2, 3}).Draw(t, "step") {
 			case 0:
 				log = append(log, replicator.Record{
-					Key: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key"), Offset: int64(len(log)), Dropped: rapid.SampledFrom([]bool{true, false}).Draw(t, "dropped"),
+					Key: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key"), Offset: int64(len(log)), Deleted: rapid.SampledFrom([]bool{true, false}).Draw(t, "dropped"),
 				})
 			case 1:
 				end, _ := copies[i].End()
@@ -167,7 +167,7 @@
 				end, _ := copies[i].End()
 				from := copies[rapid.SampledFrom([]int{0, 1, 2, 3}).Draw(t, "from")]
 				if at, _ := from.End(); at > end {
-					copies[i].Take(from.Since(end))
+					copies[i].MergePage(from.Since(end))
 				}
 			case 3:
 				start(i)
--- a/entry/process/replicator/silence_test.go
+++ b/entry/process/replicator/silence_test.go
@@ -18,9 +18,9 @@
 	c := replicator.New(func(_ []replicator.Record, gap time.Duration) { gaps = append(gaps, gap) })
 	c.Merge([]replicator.Record{{Key: "a", Offset: 1}}, 2, now)
 	for at := 250 * time.Millisecond; at <= 2*time.Second; at += 250 * time.Millisecond {
-		c.Heard(now.Add(at))
+		c.RecordAnswer(now.Add(at))
 	}
-	c.Merge([]replicator.Record{{Key: "a", Offset: 2, Dropped: true}}, 3, now.Add(1900*time.Millisecond))
+	c.Merge([]replicator.Record{{Key: "a", Offset: 2, Deleted: true}}, 3, now.Add(1900*time.Millisecond))
 	assert.DeepEqual(t, gaps, []time.Duration{0, 0})
 }
 
@@ -31,11 +31,11 @@
 	var gaps []time.Duration
 	c := replicator.New(func(_ []replicator.Record, gap time.Duration) { gaps = append(gaps, gap) })
 	c.Merge([]replicator.Record{{Key: "a", Offset: 1}}, 2, now)
-	c.Heard(now.Add(4 * time.Second))
-	c.Heard(now.Add(4250 * time.Millisecond))
-	c.Merge([]replicator.Record{{Key: "a", Offset: 2, Dropped: true}}, 3, now.Add(4100*time.Millisecond))
-	c.Heard(now.Add(4500 * time.Millisecond))
-	c.Merge([]replicator.Record{{Key: "b", Offset: 3, Dropped: true}}, 4, now.Add(4400*time.Millisecond))
+	c.RecordAnswer(now.Add(4 * time.Second))
+	c.RecordAnswer(now.Add(4250 * time.Millisecond))
+	c.Merge([]replicator.Record{{Key: "a", Offset: 2, Deleted: true}}, 3, now.Add(4100*time.Millisecond))
+	c.RecordAnswer(now.Add(4500 * time.Millisecond))
+	c.Merge([]replicator.Record{{Key: "b", Offset: 3, Deleted: true}}, 4, now.Add(4400*time.Millisecond))
 	assert.DeepEqual(t, gaps, []time.Duration{0, 4 * time.Second, 0})
 }
 
@@ -43,13 +43,13 @@
 // time for which it has told nobody anything.
 func TestCopyIsBehindWhatOthersWereTold(t *testing.T) {
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
-	c.Heard(now)
-	assert.Equal(t, c.Behind(), time.Duration(0), "a copy that has read nothing names no upstream")
+	c.RecordAnswer(now)
+	assert.Equal(t, c.Lag(), time.Duration(0), "a copy that has read nothing names no upstream")
 	c.Merge([]replicator.Record{{Key: "a", Offset: 1}}, 2, now)
-	assert.Equal(t, c.Behind(), time.Duration(0))
-	c.Heard(now.Add(2 * time.Second))
-	c.Heard(now.Add(time.Second))
-	assert.Equal(t, c.Behind(), 2*time.Second)
+	assert.Equal(t, c.Lag(), time.Duration(0))
+	c.RecordAnswer(now.Add(2 * time.Second))
+	c.RecordAnswer(now.Add(time.Second))
+	assert.Equal(t, c.Lag(), 2*time.Second)
 	c.Merge(nil, 2, now.Add(2*time.Second))
-	assert.Equal(t, c.Behind(), time.Duration(0))
+	assert.Equal(t, c.Lag(), time.Duration(0))
 }
--- a/entry/process/scheduler/queue.go
+++ b/entry/process/scheduler/queue.go
@@ -173,8 +173,8 @@
 		u := &states[i]
 		c := placer.Candidate{
 			ID: u.ID, Zone: u.Zone, Slots: u.Slots, SameZone: u.Zone == call.Zone, Quota: unbounded,
-			Cold: now.Before(u.ColdUntil), Unreachable: now.Before(u.SilentUntil) || slices.Contains(call.Unreachable, u.ID),
-			Leaving: now.Before(u.LeavesUntil), Failed: u.Outcomes.Failed, Answered: u.Outcomes.Answered,
+			Cold: now.Before(u.ColdUntil), Unreachable: now.Before(u.UnreachableUntil) || slices.Contains(call.Unreachable, u.ID),
+			Leaving: now.Before(u.LeavingUntil), Failed: u.Outcomes.Failed, Answered: u.Outcomes.Answered,
 		}
 		if l, ok := s.work[u.ID]; ok {
 			c.Load = *l
--- a/entry/process/scheduler/scheduler_test.go
+++ b/entry/process/scheduler/scheduler_test.go
@@ -288,7 +288,7 @@
 func TestOthersFindingsCount(t *testing.T) {
 	f := newFleet(2)
 	for range 3 {
-		f.tracker.Learn(f.now, tracker.Event{Finding: tracker.FoundFailing, Upstreams: []string{"u0"}})
+		f.tracker.MergeEvent(f.now, tracker.Event{Finding: tracker.FoundFailure, Upstreams: []string{"u0"}})
 	}
 	for range 2 {
 		g, _ := f.acquire(t, f.call(5000, 10*time.Second))
@@ -316,7 +316,7 @@
 // elsewhere.
 func TestColdUpstreamGetsItsPart(t *testing.T) {
 	f := newFleet(1)
-	f.tracker.TurnedCold(f.now, "u0", time.Minute)
+	f.tracker.ReportCold(f.now, "u0", time.Minute)
 	for range 4 {
 		g, refusal := f.acquire(t, f.call(1000, 100*time.Second))
 		assert.Assert(t, refusal == nil)
@@ -385,10 +385,10 @@
 		assert.Equal(t, refusal.Code, scheduler.CodeNoUpstream)
 		assert.Assert(t, refusal.RetryAfter > 0)
 	}
-	f.tracker.Outdate(true)
+	f.tracker.SetOutdated(true)
 	waits := f.ask(plain)
 	assert.Equal(t, f.QueueLength(), 1)
-	f.tracker.Outdate(false)
+	f.tracker.SetOutdated(false)
 	f.tracker.Put(f.now, tracker.Upstream{ID: "u", Service: "s", Slots: 2})
 	f.Dispatch()
 	assert.Assert(t, (<-waits).grant != nil)
@@ -397,7 +397,7 @@
 // limit has upstreams name a limit, or none any more.
 func (f *fleet) limit(rate float64, ids ...string) {
 	for _, id := range ids {
-		f.tracker.Limit(id, tracker.Limit{Limited: rate > 0, Rate: rate, AsOf: f.now})
+		f.tracker.ReportLimit(id, tracker.Limit{Limited: rate > 0, Rate: rate, AsOf: f.now})
 	}
 }
 
--- a/entry/process/server/server.go
+++ b/entry/process/server/server.go
@@ -149,8 +149,8 @@
 	}, supply{v.coordinator}, v.observer, time.Now)
 	bodies := &reader.Reader{MaxBytes: int64(v.settings.Limits.Body), Budget: v.bodies, Timeout: patience}
 	v.keeper = keeper.New(keeper.Deps{Log: v.records, Ticker: v.ticker, Logger: v.log})
-	quarantine := quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: v.log, Broadcast: v.keeper.Spread, MayRunTrial: v.mayTry})
-	v.keeper.Keep(quarantine)
+	quarantine := quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: v.log, Broadcast: v.keeper.ScheduleAppend, MayRunTrial: v.mayTry})
+	v.keeper.SetQuarantine(quarantine)
 	v.chatter = chatter.New(chatter.Config{VM: v.settings.ID, Boot: v.boot}, chatter.Deps{
 		Views: v.view.Load, Reader: bodies, Acquirer: v.dispatcher, Streamer: streamer.New(v.upstream),
 		Canceller: v.canceller, Watcher: v.observer, Retrier: newBudget(), Quarantine: quarantine, Meter: v.meter, Now: time.Now,
--- a/entry/process/syncer/syncer.go
+++ b/entry/process/syncer/syncer.go
@@ -19,9 +19,9 @@
 	"github.com/heathervane/heathervane/entry/process/replicator"
 )
 
-// ErrForgotten says that the platform no longer keeps the records asked for:
+// ErrNotRetained says that the platform no longer keeps the records asked for:
 // the stream has to be read whole again.
-var ErrForgotten = errors.New("the records are no longer kept")
+var ErrNotRetained = errors.New("the records are no longer kept")
 
 const (
 	// tryAgain is the wait after a failed reading, and mostWait its bound as
@@ -87,15 +87,15 @@
 	Name string
 	Copy *replicator.Copy
 	// Wait is how long the platform holds a reading that has nothing new, and
-	// Every how long after a reading the next one begins.
-	Wait, Every time.Duration
-	// Stale is how old a copy may be before this VM looks for another way: one
+	// Interval how long after a reading the next one begins.
+	Wait, Interval time.Duration
+	// StaleAfter is how old a copy may be before this VM looks for another way: one
 	// that reads asks a peer, one for which another reads does so itself.
-	Stale time.Duration
-	// Behind is how long a peer may be ahead before it is asked, also while the
+	StaleAfter time.Duration
+	// MaxLag is how long a peer may be ahead before it is asked, also while the
 	// copy is not stale: a long reading that the platform forgets to answer looks
 	// like one that has nothing new. Zero where only age counts.
-	Behind time.Duration
+	MaxLag time.Duration
 	// Shared says that one VM of a zone reads for the others, which take what
 	// it has as soon as it says that there is more.
 	Shared bool
@@ -144,7 +144,7 @@
 		err := s.read(ctx, whole || !s.whole())
 		now := s.now()
 		s.failed.Store(0)
-		if err != nil && !errors.Is(err, ErrForgotten) {
+		if err != nil && !errors.Is(err, ErrNotRetained) {
 			s.failed.Store(now.UnixMilli())
 		}
 		switch {
@@ -157,9 +157,9 @@
 			if first && s.known() && s.stream.Shared {
 				s.peers.Publish()
 			}
-			pause(ctx, s.stream.Every)
+			pause(ctx, s.stream.Interval)
 			continue
-		case errors.Is(err, ErrForgotten):
+		case errors.Is(err, ErrNotRetained):
 			s.log.Info().Msg("records forgotten by the platform, reading all")
 			whole = true
 			continue
@@ -227,7 +227,7 @@
 	if asOf.IsZero() {
 		asOf = s.began
 	}
-	old := s.now().Sub(asOf) - s.stream.Stale
+	old := s.now().Sub(asOf) - s.stream.StaleAfter
 	switch s.peers.Duty() {
 	case gossiper.Reads:
 		return true
@@ -235,7 +235,7 @@
 		return old >= 0
 	case gossiper.Follows:
 	}
-	answered := s.now().Sub(s.peers.Answered(s.stream.Name)) < s.stream.Stale
+	answered := s.now().Sub(s.peers.Answered(s.stream.Name)) < s.stream.StaleAfter
 	return old >= followSpare && (answered || end == 0)
 }
 
@@ -263,8 +263,8 @@
 		if err != nil {
 			return err
 		}
-		s.stream.Copy.Complete(rs, end, asOf)
-		s.stream.Copy.Read(asOf)
+		s.stream.Copy.MergeSnapshot(rs, end, asOf)
+		s.stream.Copy.MarkRead(asOf)
 		return nil
 	}
 	short, cancel := context.WithTimeout(ctx, s.stream.Wait+spare)
@@ -275,7 +275,7 @@
 	}
 	now := s.now()
 	s.stream.Copy.Merge(rs, end, now)
-	s.stream.Copy.Read(now)
+	s.stream.Copy.MarkRead(now)
 	return nil
 }
 
@@ -297,8 +297,8 @@
 		if behind.IsZero() {
 			behind = s.now()
 		}
-		overdue := s.stream.Behind > 0 && s.now().Sub(behind) >= s.stream.Behind
-		if end > 0 && s.now().Sub(asOf) < s.stream.Stale && s.due() && !overdue {
+		overdue := s.stream.MaxLag > 0 && s.now().Sub(behind) >= s.stream.MaxLag
+		if end > 0 && s.now().Sub(asOf) < s.stream.StaleAfter && s.due() && !overdue {
 			continue
 		}
 		short, cancel := context.WithTimeout(ctx, peerTime)
@@ -309,8 +309,8 @@
 			continue
 		}
 		s.log.Debug().Str("peer", from.String()).Int("records", len(p.Records)).Int64("end", p.End).
-			Bool("whole", p.Whole).Dur("age", s.now().Sub(p.AsOf)).Msg("records read from a peer")
-		s.stream.Copy.Take(p)
+			Bool("whole", p.Snapshot).Dur("age", s.now().Sub(p.AsOf)).Msg("records read from a peer")
+		s.stream.Copy.MergePage(p)
 	}
 }
 
--- a/entry/process/syncer/syncer_test.go
+++ b/entry/process/syncer/syncer_test.go
@@ -49,7 +49,7 @@
 	case p.down:
 		return nil, 0, errDown
 	case p.forgot:
-		return nil, 0, syncer.ErrForgotten
+		return nil, 0, syncer.ErrNotRetained
 	}
 	return p.records[from:], int64(len(p.records)), nil
 }
@@ -114,7 +114,7 @@
 func start(t *testing.T, p syncer.Source, others peers) *replicator.Copy {
 	t.Helper()
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
-	return run(t, syncer.Stream{Name: "s", Copy: c, Every: time.Millisecond, Stale: 200 * time.Millisecond, Shared: true}, p, others)
+	return run(t, syncer.Stream{Name: "s", Copy: c, Interval: time.Millisecond, StaleAfter: 200 * time.Millisecond, Shared: true}, p, others)
 }
 
 func run(t *testing.T, stream syncer.Stream, p syncer.Source, others peers) *replicator.Copy {
@@ -243,7 +243,7 @@
 	p := &forgetful{platform{records: []replicator.Record{record("a", 0)}}}
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
 	began := time.Now()
-	run(t, syncer.Stream{Name: "s", Copy: c, Wait: 10 * time.Second, Stale: time.Minute, Behind: 100 * time.Millisecond}, p,
+	run(t, syncer.Stream{Name: "s", Copy: c, Wait: 10 * time.Second, StaleAfter: time.Minute, MaxLag: 100 * time.Millisecond}, p,
 		peers{records: []replicator.Record{record("a", 0), record("b", 1)}})
 	reaches(t, c, 2)
 	assert.Assert(t, time.Since(began) < 5*time.Second)
@@ -256,7 +256,7 @@
 	serves.Store(true)
 	p := &platform{records: []replicator.Record{record("a", 0), record("b", 1)}}
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
-	s := syncer.New(syncer.Stream{Name: "s", Copy: c, Every: time.Millisecond, Stale: 200 * time.Millisecond, Shared: true}, p,
+	s := syncer.New(syncer.Stream{Name: "s", Copy: c, Interval: time.Millisecond, StaleAfter: 200 * time.Millisecond, Shared: true}, p,
 		peers{records: p.records, serves: serves, duty: gossiper.Follows}, time.Now, zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	var both sync.WaitGroup
@@ -301,7 +301,7 @@
 func TestEmptyStreamIsReadWholeOnce(t *testing.T) {
 	p := &platform{}
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
-	run(t, syncer.Stream{Name: "s", Copy: c, Every: 20 * time.Millisecond, Stale: time.Second, Shared: true}, p, peers{})
+	run(t, syncer.Stream{Name: "s", Copy: c, Interval: 20 * time.Millisecond, StaleAfter: time.Second, Shared: true}, p, peers{})
 	time.Sleep(400 * time.Millisecond)
 	p.set(func() { assert.Equal(t, p.wholes, 1) })
 	p.set(func() { p.records = append(p.records, record("a", 0)) })
--- a/entry/process/tracker/event.go
+++ b/entry/process/tracker/event.go
@@ -8,18 +8,18 @@
 
 // What may be found out.
 const (
-	// FoundFailing is a request that failed, FoundBroken a connection that
+	// FoundFailure is a request that failed, FoundBroken a connection that
 	// could not be made or broke.
-	FoundFailing Finding = iota + 1
-	FoundBroken
-	// FoundAnswering is an answer that has begun.
-	FoundAnswering
+	FoundFailure Finding = iota + 1
+	FoundConnectionFailure
+	// FoundAnswer is an answer that has begun.
+	FoundAnswer
 	// FoundCold is an upstream in cold start, FoundMisplaced another process at
 	// its address.
 	FoundCold
-	FoundMisplaced
-	// FoundStalled is work that needs several upstreams and has not gone on.
-	FoundStalled
+	FoundReplaced
+	// FoundStall is work that needs several upstreams and has not gone on.
+	FoundStall
 	// FoundLeaving is an upstream that no longer helps.
 	FoundLeaving
 	// FoundLimit is an upstream that has named a limit, or named none any more.
@@ -38,10 +38,10 @@
 	Limit Limit
 }
 
-// Listen has every Event that this VM's own requests bring reported to whoever
+// SetListener has every Event that this VM's own requests bring reported to whoever
 // places requests at the same upstreams for other VMs. It is called once, before
 // the Tracker is used.
-func (t *Tracker) Listen(listener func(Event)) { t.listener = listener }
+func (t *Tracker) SetListener(listener func(Event)) { t.listener = listener }
 
 func (t *Tracker) notify(e Event) {
 	if t.listener != nil {
@@ -49,21 +49,21 @@
 	}
 }
 
-// Learn notes what another VM has found out.
-func (t *Tracker) Learn(now time.Time, e Event) {
+// MergeEvent notes what another VM has found out.
+func (t *Tracker) MergeEvent(now time.Time, e Event) {
 	for _, id := range e.Upstreams {
 		switch e.Finding {
-		case FoundFailing, FoundBroken:
-			t.fail(now, id, e.Finding == FoundBroken)
-		case FoundAnswering:
+		case FoundFailure, FoundConnectionFailure:
+			t.fail(now, id, e.Finding == FoundConnectionFailure)
+		case FoundAnswer:
 			t.answer(now, id)
 		case FoundCold:
 			t.turnCold(now, id, e.For)
-		case FoundMisplaced:
+		case FoundReplaced:
 			t.drop(id)
 		case FoundLeaving:
 			t.leave(now, id)
-		case FoundStalled:
+		case FoundStall:
 			if t.quiet(id, now.Add(-e.For)) {
 				t.fail(now, id, true)
 			}
--- a/entry/process/tracker/limit.go
+++ b/entry/process/tracker/limit.go
@@ -12,10 +12,10 @@
 	AsOf time.Time
 }
 
-// Limit notes what an upstream said of its limit. It gives what was known before,
+// ReportLimit notes what an upstream said of its limit. It gives what was known before,
 // and says whether that was something else. Whoever listens is told each time that a
 // limit is named: one word may be lost.
-func (t *Tracker) Limit(id string, l Limit) (old Limit, changed bool) {
+func (t *Tracker) ReportLimit(id string, l Limit) (old Limit, changed bool) {
 	old, newer := t.limit(id, l)
 	changed = newer && (old.Limited != l.Limited || old.Rate != l.Rate)
 	if changed || (newer && l.Limited) {
@@ -24,8 +24,8 @@
 	return old, changed
 }
 
-// Learned notes what another VM was told of an upstream's limit.
-func (t *Tracker) Learned(id string, l Limit) (old Limit, changed bool) {
+// MergeLimit notes what another VM was told of an upstream's limit.
+func (t *Tracker) MergeLimit(id string, l Limit) (old Limit, changed bool) {
 	old, newer := t.limit(id, l)
 	return old, newer && (old.Limited != l.Limited || old.Rate != l.Rate)
 }
--- a/entry/process/tracker/outcomes.go
+++ b/entry/process/tracker/outcomes.go
@@ -19,13 +19,13 @@
 
 // Add counts outcomes.
 func (o *Outcomes) Add(now time.Time, failed, answered float64) {
-	o.Age(now)
+	o.Decay(now)
 	o.Failed += failed
 	o.Answered += answered
 }
 
-// Age lets what was counted count for less with time.
-func (o *Outcomes) Age(now time.Time) {
+// Decay lets what was counted count for less with time.
+func (o *Outcomes) Decay(now time.Time) {
 	left := math.Exp2(-now.Sub(o.at).Seconds() / halfLife.Seconds())
 	o.Failed *= left
 	o.Answered *= left
--- a/entry/process/tracker/tracker.go
+++ b/entry/process/tracker/tracker.go
@@ -34,8 +34,8 @@
 	Draining bool
 	// Cold is how much longer it was in cold start when this was read.
 	Cold time.Duration
-	// Born is when it started, in Unix milliseconds; 0 where unknown.
-	Born int64
+	// StartedAt is when it started, in Unix milliseconds; 0 where unknown.
+	StartedAt int64
 	// Sequence counts what it wrote to the list since then.
 	Sequence int64
 }
@@ -48,13 +48,13 @@
 	// Outcomes are those of this VM's requests there, and of the others' as far
 	// as they have told this one.
 	Outcomes Outcomes
-	// Pace is its measured step time over the promised one: 1 as promised.
-	Pace float64
-	// SilentUntil is until when it gets nothing, after broken connections.
-	SilentUntil time.Time
-	// LeavesUntil is until when it is taken for leaving, whatever the list says: it
+	// StepTimeRatio is its measured step time over the promised one: 1 as promised.
+	StepTimeRatio float64
+	// UnreachableUntil is until when it gets nothing, after broken connections.
+	UnreachableUntil time.Time
+	// LeavingUntil is until when it is taken for leaving, whatever the list says: it
 	// has declined to help, or its health check has failed beside one that had.
-	LeavesUntil time.Time
+	LeavingUntil time.Time
 	// Limit is what it has said of how much it takes.
 	Limit   Limit
 	inRow   int
@@ -91,9 +91,9 @@
 	if (ok && s.after(u)) || t.removed[u.ID].after(u) {
 		return false
 	}
-	if !ok || (u.Born != s.Born && u.Born != 0) {
+	if !ok || (u.StartedAt != s.StartedAt && u.StartedAt != 0) {
 		// One that started again has nothing left of before.
-		s = &State{Pace: 1}
+		s = &State{StepTimeRatio: 1}
 		t.known[u.ID] = s
 		changed = true
 	}
@@ -115,8 +115,8 @@
 // A write that the platform carried out late would bring back as ready an
 // upstream that has said since that it leaves, or is gone.
 func (u Upstream) after(other Upstream) bool {
-	if u.Born != other.Born {
-		return u.Born > other.Born
+	if u.StartedAt != other.StartedAt {
+		return u.StartedAt > other.StartedAt
 	}
 	return u.Sequence > other.Sequence
 }
@@ -168,8 +168,8 @@
 	return gone
 }
 
-// TakeOut replaces the zones whose upstreams get no new work.
-func (t *Tracker) TakeOut(zones map[string]bool) {
+// SetDisabledZones replaces the zones whose upstreams get no new work.
+func (t *Tracker) SetDisabledZones(zones map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.zones = zones
@@ -185,14 +185,14 @@
 			continue
 		}
 		c := *s
-		c.Outcomes.Age(now)
+		c.Outcomes.Decay(now)
 		states = append(states, c)
 	}
 	return states
 }
 
-// Sizes are how many upstreams of a service each zone has that may get new work.
-func (t *Tracker) Sizes(service string) map[string]int {
+// CountUsableByZone are how many upstreams of a service each zone has that may get new work.
+func (t *Tracker) CountUsableByZone(service string) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sizes := make(map[string]int)
@@ -204,9 +204,9 @@
 	return sizes
 }
 
-// Listed is how many upstreams of a service the platform lists, whatever they may
+// CountListed is how many upstreams of a service the platform lists, whatever they may
 // get.
-func (t *Tracker) Listed(service string) int {
+func (t *Tracker) CountListed(service string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
@@ -218,9 +218,9 @@
 	return n
 }
 
-// May says whether an upstream may get work at this moment. Whoever sends asks
+// IsUsable says whether an upstream may get work at this moment. Whoever sends asks
 // right before, since a process may have stood still since it chose.
-func (t *Tracker) May(id string) bool {
+func (t *Tracker) IsUsable(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.known[id]
@@ -247,11 +247,11 @@
 	return t.outdated
 }
 
-// Outdate says whether this VM's list is so old that upstreams may have left for
+// SetOutdated says whether this VM's list is so old that upstreams may have left for
 // longer than they may get work, and says whether that is new. While it is, none
 // may get any, also none that was chosen before: requests wait for the list, or
 // are refused as not run.
-func (t *Tracker) Outdate(outdated bool) (changed bool) {
+func (t *Tracker) SetOutdated(outdated bool) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed = t.outdated != outdated
@@ -259,13 +259,13 @@
 	return changed
 }
 
-// Failed notes a request that failed there. Broken says that the connection
+// ReportFailure notes a request that failed there. Broken says that the connection
 // failed, and not the request.
-func (t *Tracker) Failed(now time.Time, id string, broken bool) {
+func (t *Tracker) ReportFailure(now time.Time, id string, broken bool) {
 	t.fail(now, id, broken)
-	found := FoundFailing
+	found := FoundFailure
 	if broken {
-		found = FoundBroken
+		found = FoundConnectionFailure
 	}
 	t.notify(Event{Finding: found, Upstreams: []string{id}})
 }
@@ -280,15 +280,15 @@
 	s.Outcomes.Add(now, 1, 0)
 	if broken {
 		wait := min(mostUnreachable, unreachable<<min(s.inRow, mostDoubled))
-		s.SilentUntil = now.Add(wait)
+		s.UnreachableUntil = now.Add(wait)
 		s.inRow++
 	}
 }
 
-// Answered notes a request that the upstream has begun to answer.
-func (t *Tracker) Answered(now time.Time, id string) {
+// ReportAnswer notes a request that the upstream has begun to answer.
+func (t *Tracker) ReportAnswer(now time.Time, id string) {
 	t.answer(now, id)
-	t.notify(Event{Finding: FoundAnswering, Upstreams: []string{id}})
+	t.notify(Event{Finding: FoundAnswer, Upstreams: []string{id}})
 }
 
 func (t *Tracker) answer(now time.Time, id string) {
@@ -296,14 +296,14 @@
 	defer t.mu.Unlock()
 	if s, ok := t.known[id]; ok {
 		s.inRow = 0
-		s.SilentUntil = time.Time{}
+		s.UnreachableUntil = time.Time{}
 		s.heardAt = now
 		s.Outcomes.Add(now, 0, 1)
 	}
 }
 
-// Heard notes a sign of life.
-func (t *Tracker) Heard(now time.Time, id string) {
+// ReportActivity notes a sign of life.
+func (t *Tracker) ReportActivity(now time.Time, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.known[id]; ok {
@@ -311,21 +311,21 @@
 	}
 }
 
-// Stalled notes that work has not gone on since a time which needs several
+// ReportStall notes that work has not gone on since a time which needs several
 // upstreams. One of them may have died, and none says which: it is one that has
 // given no sign of life since then. Without this it would stall each prompt that
 // it is asked to help with, while the one that was asked gets the blame.
 //
 // Another VM may have had answers from one that is quiet here, so that those who
 // listen are told of the stall and judge for themselves.
-func (t *Tracker) Stalled(now, since time.Time, ids []string) (blamed []string) {
+func (t *Tracker) ReportStall(now, since time.Time, ids []string) (blamed []string) {
 	for _, id := range ids {
 		if t.quiet(id, since) {
 			t.fail(now, id, true)
 			blamed = append(blamed, id)
 		}
 	}
-	t.notify(Event{Finding: FoundStalled, Upstreams: ids, For: now.Sub(since)})
+	t.notify(Event{Finding: FoundStall, Upstreams: ids, For: now.Sub(since)})
 	return blamed
 }
 
@@ -337,21 +337,21 @@
 	return ok && s.heardAt.Before(since)
 }
 
-// Silent are the upstreams that cannot be reached now.
-func (t *Tracker) Silent(now time.Time) []string {
+// Unreachable are the upstreams that cannot be reached now.
+func (t *Tracker) Unreachable(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var ids []string
 	for id, s := range t.known {
-		if now.Before(s.SilentUntil) {
+		if now.Before(s.UnreachableUntil) {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// TurnedCold notes that an upstream said it is in cold start.
-func (t *Tracker) TurnedCold(now time.Time, id string, left time.Duration) {
+// ReportCold notes that an upstream said it is in cold start.
+func (t *Tracker) ReportCold(now time.Time, id string, left time.Duration) {
 	t.turnCold(now, id, left)
 	t.notify(Event{Finding: FoundCold, Upstreams: []string{id}, For: left})
 }
@@ -364,8 +364,8 @@
 	}
 }
 
-// Leaves notes that an upstream seems to leave.
-func (t *Tracker) Leaves(now time.Time, id string) {
+// ReportLeaving notes that an upstream seems to leave.
+func (t *Tracker) ReportLeaving(now time.Time, id string) {
 	t.leave(now, id)
 	t.notify(Event{Finding: FoundLeaving, Upstreams: []string{id}})
 }
@@ -374,14 +374,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.known[id]; ok {
-		s.LeavesUntil = now.Add(leaving)
+		s.LeavingUntil = now.Add(leaving)
 	}
 }
 
-// Misplaced notes that another process answers at an upstream's address: it is
+// ReportReplaced notes that another process answers at an upstream's address: it is
 // gone, whatever the list says.
-func (t *Tracker) Misplaced(id string) {
-	t.notify(Event{Finding: FoundMisplaced, Upstreams: []string{id}})
+func (t *Tracker) ReportReplaced(id string) {
+	t.notify(Event{Finding: FoundReplaced, Upstreams: []string{id}})
 	t.drop(id)
 }
 
--- a/entry/process/tracker/tracker_test.go
+++ b/entry/process/tracker/tracker_test.go
@@ -12,7 +12,7 @@
 var now = time.Unix(1_000_000, 0)
 
 func upstream(id string) tracker.Upstream {
-	return tracker.Upstream{ID: id, Service: "s", Address: "127.0.0.1:1", Zone: "z1", Slots: 4, Born: 100, Sequence: 5}
+	return tracker.Upstream{ID: id, Service: "s", Address: "127.0.0.1:1", Zone: "z1", Slots: 4, StartedAt: 100, Sequence: 5}
 }
 
 func ids(t *tracker.Tracker, at time.Time) []string {
@@ -35,15 +35,15 @@
 	u.Draining, u.Sequence = true, 6
 	assert.Assert(t, tr.Put(now, u))
 	assert.Equal(t, len(ids(tr, now)), 0)
-	assert.Assert(t, !tr.May("a"))
+	assert.Assert(t, !tr.IsUsable("a"))
 
 	tr.Put(now, upstream("b"))
-	tr.TakeOut(map[string]bool{"z1": true})
-	assert.Assert(t, !tr.May("b"))
-	tr.TakeOut(map[string]bool{"z1": false})
-	assert.Assert(t, tr.May("b"))
+	tr.SetDisabledZones(map[string]bool{"z1": true})
+	assert.Assert(t, !tr.IsUsable("b"))
+	tr.SetDisabledZones(map[string]bool{"z1": false})
+	assert.Assert(t, tr.IsUsable("b"))
 	assert.Assert(t, tr.Remove(now, "b", false))
-	assert.Assert(t, !tr.May("b"))
+	assert.Assert(t, !tr.IsUsable("b"))
 	assert.Assert(t, !tr.Remove(now, "b", false))
 }
 
@@ -58,16 +58,16 @@
 	late := upstream("a")
 	late.Sequence = 4
 	assert.Assert(t, !tr.Put(now, late))
-	assert.Assert(t, !tr.May("a"))
+	assert.Assert(t, !tr.IsUsable("a"))
 
 	tr.Remove(now, "a", false)
 	assert.Assert(t, !tr.Put(now, late))
 	assert.Equal(t, tr.Len(), 0)
 
 	born := upstream("a")
-	born.Born, born.Sequence = 200, 0
+	born.StartedAt, born.Sequence = 200, 0
 	assert.Assert(t, tr.Put(now, born))
-	assert.Assert(t, tr.May("a"))
+	assert.Assert(t, tr.IsUsable("a"))
 	older := upstream("a")
 	older.Sequence = 99
 	assert.Assert(t, !tr.Put(now, older))
@@ -102,18 +102,18 @@
 func TestUnreachableUpstreamsRestForLonger(t *testing.T) {
 	tr := tracker.New()
 	tr.Put(now, upstream("a"))
-	rest := func(at time.Time) time.Duration { return tr.Usable(at, "s")[0].SilentUntil.Sub(at) }
-	tr.Failed(now, "a", true)
+	rest := func(at time.Time) time.Duration { return tr.Usable(at, "s")[0].UnreachableUntil.Sub(at) }
+	tr.ReportFailure(now, "a", true)
 	first := rest(now)
 	assert.Assert(t, first > 0)
-	tr.Failed(now, "a", true)
+	tr.ReportFailure(now, "a", true)
 	assert.Equal(t, rest(now), 2*first)
 	for range 20 {
-		tr.Failed(now, "a", true)
+		tr.ReportFailure(now, "a", true)
 	}
 	assert.Equal(t, rest(now), 4*time.Second)
-	tr.Answered(now, "a")
-	assert.Assert(t, tr.Usable(now, "s")[0].SilentUntil.IsZero())
+	tr.ReportAnswer(now, "a")
+	assert.Assert(t, tr.Usable(now, "s")[0].UnreachableUntil.IsZero())
 }
 
 // An upstream that fails a part of its requests while its health check is good
@@ -122,7 +122,7 @@
 	tr := tracker.New()
 	tr.Put(now, upstream("a"))
 	for range 4 {
-		tr.Failed(now, "a", false)
+		tr.ReportFailure(now, "a", false)
 	}
 	assert.Equal(t, tr.Usable(now, "s")[0].Outcomes.Failed, 4.0)
 	later := tr.Usable(now.Add(4*time.Second), "s")[0].Outcomes.Failed
@@ -134,15 +134,15 @@
 func TestRebornUpstreamIsNew(t *testing.T) {
 	tr := tracker.New()
 	tr.Put(now, upstream("a"))
-	tr.Failed(now, "a", true)
+	tr.ReportFailure(now, "a", true)
 	again := upstream("a")
-	again.Born, again.Sequence, again.Cold = 300, 1, 3*time.Second
+	again.StartedAt, again.Sequence, again.Cold = 300, 1, 3*time.Second
 	assert.Assert(t, tr.Put(now, again))
 	s := tr.Usable(now, "s")[0]
 	assert.Equal(t, s.Outcomes.Failed, 0.0)
-	assert.Assert(t, s.SilentUntil.IsZero())
+	assert.Assert(t, s.UnreachableUntil.IsZero())
 	assert.Equal(t, s.ColdUntil, now.Add(3*time.Second))
-	tr.Misplaced("a")
+	tr.ReportReplaced("a")
 	assert.Equal(t, tr.Len(), 0)
 }
 
@@ -154,11 +154,11 @@
 		tr.Put(now, upstream(id))
 	}
 	later := now.Add(time.Second)
-	tr.Heard(later, "a")
-	tr.Answered(later, "c")
-	assert.DeepEqual(t, tr.Stalled(later, now.Add(500*time.Millisecond), []string{"a", "b", "c", "gone"}), []string{"b"})
-	assert.DeepEqual(t, tr.Silent(later), []string{"b"})
-	assert.Equal(t, len(tr.Silent(later.Add(time.Second))), 0)
+	tr.ReportActivity(later, "a")
+	tr.ReportAnswer(later, "c")
+	assert.DeepEqual(t, tr.ReportStall(later, now.Add(500*time.Millisecond), []string{"a", "b", "c", "gone"}), []string{"b"})
+	assert.DeepEqual(t, tr.Unreachable(later), []string{"b"})
+	assert.Equal(t, len(tr.Unreachable(later.Add(time.Second))), 0)
 }
 
 // One VM finds out that an upstream fails at once, has died, is cold or is another
@@ -173,19 +173,19 @@
 		}
 	}
 	told := 0
-	leader.Listen(func(tracker.Event) { told++ })
-	asker.Listen(func(e tracker.Event) { leader.Learn(now, e) })
-	asker.Failed(now, "a", false)
-	asker.Failed(now, "b", true)
-	asker.TurnedCold(now, "c", time.Minute)
-	asker.Misplaced("d")
-	asker.Answered(now, "e")
+	leader.SetListener(func(tracker.Event) { told++ })
+	asker.SetListener(func(e tracker.Event) { leader.MergeEvent(now, e) })
+	asker.ReportFailure(now, "a", false)
+	asker.ReportFailure(now, "b", true)
+	asker.ReportCold(now, "c", time.Minute)
+	asker.ReportReplaced("d")
+	asker.ReportAnswer(now, "e")
 	states := map[string]tracker.State{}
 	for _, s := range leader.Usable(now, "s") {
 		states[s.ID] = s
 	}
-	assert.Assert(t, states["a"].Outcomes.Failed == 1 && states["a"].SilentUntil.IsZero())
-	assert.Assert(t, states["b"].SilentUntil.After(now))
+	assert.Assert(t, states["a"].Outcomes.Failed == 1 && states["a"].UnreachableUntil.IsZero())
+	assert.Assert(t, states["b"].UnreachableUntil.After(now))
 	assert.Equal(t, states["c"].ColdUntil, now.Add(time.Minute))
 	assert.Equal(t, states["e"].Outcomes.Answered, 1.0)
 	assert.Equal(t, len(states), 4, "the one that is another process now")
@@ -201,10 +201,10 @@
 		tr.Put(now, upstream("b"))
 	}
 	later := now.Add(2 * time.Second)
-	asker.Listen(func(e tracker.Event) { leader.Learn(later, e) })
-	leader.Learn(later, tracker.Event{Finding: tracker.FoundAnswering, Upstreams: []string{"a"}})
-	asker.Stalled(later, now.Add(time.Second), []string{"a", "b"})
-	assert.DeepEqual(t, leader.Silent(later), []string{"b"})
+	asker.SetListener(func(e tracker.Event) { leader.MergeEvent(later, e) })
+	leader.MergeEvent(later, tracker.Event{Finding: tracker.FoundAnswer, Upstreams: []string{"a"}})
+	asker.ReportStall(later, now.Add(time.Second), []string{"a", "b"})
+	assert.DeepEqual(t, leader.Unreachable(later), []string{"b"})
 }
 
 // Others have read the list much further than this VM, which cannot tell which of
@@ -213,11 +213,11 @@
 func TestOutdatedListNamesNoUpstream(t *testing.T) {
 	known := tracker.New()
 	known.Put(now, tracker.Upstream{ID: "a", Service: "s"})
-	assert.Assert(t, known.Outdate(true))
-	assert.Assert(t, !known.Outdate(true), "that is no news")
-	assert.Assert(t, !known.May("a"))
+	assert.Assert(t, known.SetOutdated(true))
+	assert.Assert(t, !known.SetOutdated(true), "that is no news")
+	assert.Assert(t, !known.IsUsable("a"))
 	assert.Equal(t, len(known.Usable(now, "s")), 0)
-	assert.Assert(t, known.Outdate(false))
-	assert.Assert(t, known.May("a"))
+	assert.Assert(t, known.SetOutdated(false))
+	assert.Assert(t, known.IsUsable("a"))
 	assert.Equal(t, len(known.Usable(now, "s")), 1)
 }
--- a/entry/request/chatter/chatter_test.go
+++ b/entry/request/chatter/chatter_test.go
@@ -93,7 +93,7 @@
 // one too many is refused at once, as not run, instead of ending the process.
 func TestBodiesAreBoundedTogether(t *testing.T) {
 	r := newRig(t, manifest())
-	assert.Assert(t, r.bodies.Take(budget-1000))
+	assert.Assert(t, r.bodies.TryAcquire(budget-1000))
 	got := r.post(t, question+strings.Repeat(" ", 2000))
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, strings.Contains(got.body, `"code":"memory"`), got.body)
--- a/entry/request/reader/reader.go
+++ b/entry/request/reader/reader.go
@@ -28,8 +28,8 @@
 
 // A MemoryBudget bounds bytes over all requests.
 type MemoryBudget interface {
-	Take(n int64) bool
-	Give(n int64)
+	TryAcquire(n int64) bool
+	Release(n int64)
 }
 
 // A Reader reads bodies.
@@ -55,7 +55,7 @@
 	if b == nil {
 		return
 	}
-	b.budget.Give(b.held)
+	b.budget.Release(b.held)
 	b.held = 0
 	b.Data = nil
 }
@@ -111,7 +111,7 @@
 }
 
 func (b *Body) grow(n int64) bool {
-	if !b.budget.Take(n * CopiesPerBody) {
+	if !b.budget.TryAcquire(n * CopiesPerBody) {
 		return false
 	}
 	b.held += n * CopiesPerBody
--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -154,7 +154,7 @@
 		return nil, pause(ctx)
 	}
 	// The process may have stood still since it chose.
-	if now = r.deps.Now(); !r.deps.Tracker.May(grant.Upstream.ID) || j.end.Sub(now) < leastLeft {
+	if now = r.deps.Now(); !r.deps.Tracker.IsUsable(grant.Upstream.ID) || j.end.Sub(now) < leastLeft {
 		t.close()
 		if j.end.Sub(now) < leastLeft {
 			return nil, late()
@@ -225,7 +225,7 @@
 	t.exchange = x
 	t.verdict = r.deps.Protocol.ParseResponse(x.Status, x.Header)
 	if t.verdict.ColdStart > 0 {
-		r.deps.Tracker.TurnedCold(r.deps.Now(), id, t.verdict.ColdStart)
+		r.deps.Tracker.ReportCold(r.deps.Now(), id, t.verdict.ColdStart)
 	}
 	r.limit(j, t)
 	if foreign(j, x, t.verdict) {
@@ -242,7 +242,7 @@
 	if !bad(x.Status) {
 		return answered
 	}
-	r.deps.Tracker.Failed(r.deps.Now(), id, false)
+	r.deps.Tracker.ReportFailure(r.deps.Now(), id, false)
 	if j.route.Repeatable() && r.mayRepeat(ctx, j) {
 		r.note(j, id, "upstream failed")
 		return repeated
@@ -258,7 +258,7 @@
 		l.AsOf = t.sent
 	}
 	id := t.grant.Upstream.ID
-	if old, changed := r.deps.Tracker.Limit(id, l); changed {
+	if old, changed := r.deps.Tracker.ReportLimit(id, l); changed {
 		r.deps.Log.Info().Str("upstream", id).Str("id", j.ask.ID).Bool("limited", l.Limited).Float64("rate", l.Rate).
 			Float64("before", old.Rate).Msg("limit of an upstream")
 	}
@@ -325,7 +325,7 @@
 	r.lost(j, t, f)
 	r.note(j, id, f.Error())
 	// A kept connection that was closed says nothing of the upstream.
-	r.deps.Tracker.Failed(r.deps.Now(), id, !f.Reused)
+	r.deps.Tracker.ReportFailure(r.deps.Now(), id, !f.Reused)
 	if !f.Sent {
 		return failed
 	}
@@ -339,7 +339,7 @@
 	if (errors.As(err, &f) && !f.Sent) || !broken(err) {
 		return
 	}
-	j.trace.losses = r.deps.Quarantine.Lost(j.fingerprint, t.grant.Upstream.ID, t.grant.Upstream.Born)
+	j.trace.losses = r.deps.Quarantine.Lost(j.fingerprint, t.grant.Upstream.ID, t.grant.Upstream.StartedAt)
 }
 
 // broken says that a connection was ended by the other side before its time.
@@ -357,9 +357,9 @@
 // are silent one after the other, and a new one shows it.
 func (r *Relayer) stalled(j *job, t *try) {
 	r.deps.Carrier.Drop(t.grant.Upstream.Address)
-	blamed := r.deps.Tracker.Stalled(r.deps.Now(), t.sent, t.upstreams())
+	blamed := r.deps.Tracker.ReportStall(r.deps.Now(), t.sent, t.upstreams())
 	if slices.Contains(blamed, t.grant.Upstream.ID) {
-		j.trace.losses = r.deps.Quarantine.Lost(j.fingerprint, t.grant.Upstream.ID, t.grant.Upstream.Born)
+		j.trace.losses = r.deps.Quarantine.Lost(j.fingerprint, t.grant.Upstream.ID, t.grant.Upstream.StartedAt)
 	}
 	r.note(j, t.grant.Upstream.ID, "silent; blamed: "+strings.Join(blamed, " "))
 	j.tried = append(j.tried, blamed...)
@@ -376,15 +376,15 @@
 	j.refused++
 	r.note(j, at, "upstream declined")
 	if t.verdict.Misdirected {
-		r.deps.Tracker.Misplaced(at)
+		r.deps.Tracker.ReportReplaced(at)
 		return failed
 	}
 	// An engine that cannot help is leaving or gone; one that takes no request
 	// itself may just be full.
 	helper := at != t.grant.Upstream.ID
-	r.deps.Tracker.Failed(r.deps.Now(), at, helper)
+	r.deps.Tracker.ReportFailure(r.deps.Now(), at, helper)
 	if helper {
-		r.deps.Tracker.Leaves(r.deps.Now(), at)
+		r.deps.Tracker.ReportLeaving(r.deps.Now(), at)
 		r.deps.Prober.Probe(ctx, j.service)
 	}
 	return failed
--- a/entry/request/relayer/stream.go
+++ b/entry/request/relayer/stream.go
@@ -61,7 +61,7 @@
 		if ctx.Err() == nil {
 			r.lost(j, t, err)
 			r.note(j, t.grant.Upstream.ID, "stream cut: "+err.Error())
-			r.deps.Tracker.Failed(r.deps.Now(), t.grant.Upstream.ID, true)
+			r.deps.Tracker.ReportFailure(r.deps.Now(), t.grant.Upstream.ID, true)
 		}
 		if j.route.Repeatable() && r.mayRepeat(ctx, j) {
 			continue
@@ -133,11 +133,11 @@
 // heard notes an event of an upstream.
 func (r *Relayer) heard(now time.Time, t *try) {
 	if t.began {
-		r.deps.Tracker.Heard(now, t.grant.Upstream.ID)
+		r.deps.Tracker.ReportActivity(now, t.grant.Upstream.ID)
 		return
 	}
 	t.began = true
-	r.deps.Tracker.Answered(now, t.grant.Upstream.ID)
+	r.deps.Tracker.ReportAnswer(now, t.grant.Upstream.ID)
 	t.grant.MarkStarted()
 }
 
--- a/entry/request/relayer/whole.go
+++ b/entry/request/relayer/whole.go
@@ -40,7 +40,7 @@
 		if ctx.Err() == nil {
 			r.lost(j, t, err)
 			r.note(j, t.grant.Upstream.ID, "answer cut: "+err.Error())
-			r.deps.Tracker.Failed(r.deps.Now(), t.grant.Upstream.ID, false)
+			r.deps.Tracker.ReportFailure(r.deps.Now(), t.grant.Upstream.ID, false)
 		}
 		if !j.route.Repeatable() || !r.mayRepeat(ctx, j) {
 			r.refuse(w, j, j.failed(ctx))
@@ -75,7 +75,7 @@
 		return
 	}
 	a.try.grant.MarkStarted()
-	r.deps.Tracker.Answered(r.deps.Now(), a.try.grant.Upstream.ID)
+	r.deps.Tracker.ReportAnswer(r.deps.Now(), a.try.grant.Upstream.ID)
 	r.head(w, j, x.Header)
 	if !a.more && (len(a.data) > 0 || x.Header.Get("Content-Length") == "") && bodied(j.request.Method, x.Status) {
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.data)))
