--- a/entry/request/trimmer/trimmer.go
+++ b/entry/request/trimmer/trimmer.go
@@ -1,5 +1,4 @@
-// Package trimmer takes from a message's headers those that concern one
-// connection only, so that what goes on to the other side is the sender's own.
+// Package trimmer removes hop-by-hop headers from messages that are forwarded.
 package trimmer
 
 import (
@@ -7,10 +6,12 @@
 	"strings"
 )
 
-// hop are the headers that belong to one connection, by RFC 9110, section 7.6.1.
-var hop = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
+// hopByHop lists the headers that apply to a single connection, as in RFC 9110,
+// section 7.6.1.
+var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// EndToEndHeaders are the headers that go on to the other side.
+// EndToEndHeaders returns a copy of h without the hop-by-hop headers, those that
+// its Connection header names included, and without Authorization.
 func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h.Values("Connection") {
@@ -18,10 +19,10 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hop {
+	for _, name := range hopByHop {
 		out.Del(name)
 	}
-	// The bearer token is between the caller and this system.
+	// The bearer token is meant for this system only and is not forwarded.
 	out.Del("Authorization")
 	return out
 }
