--- a/entry/request/refuser/refuser.go
+++ b/entry/request/refuser/refuser.go
@@ -1,6 +1,6 @@
-// Package refuser says why a request gets no answer, in the error shape that
-// callers of the OpenAI format know, and whether the work ran. It decides
-// nothing: whoever gives a request up states both.
+// Package refuser builds error responses in the format of the OpenAI API. Each
+// response carries a reason and whether the request ran; the code that rejects
+// the request supplies both.
 package refuser
 
 import (
@@ -12,78 +12,80 @@
 	"time"
 )
 
-// Headers of every answer.
+// Response headers.
 const (
-	// RanHeader carries a Ran.
+	// RanHeader carries a Ran value.
 	RanHeader = "Heathervane-Ran"
-	// VMHeader names the entry VM that answered.
+	// VMHeader names the entry VM that sent the response.
 	VMHeader = "Heathervane-VM"
-	// UpstreamHeader names the upstreams that the work went to.
+	// UpstreamHeader names the upstreams that the request was sent to.
 	UpstreamHeader = "Heathervane-Upstream"
-	// TriesHeader counts the upstreams that the work was sent to, where it is
-	// more than one: a request is never repeated silently.
+	// TriesHeader counts the upstreams that the request was sent to. It is set
+	// if there was more than one, so that every retry is visible to the caller.
 	TriesHeader = "Heathervane-Tries"
 )
 
-// Ran says whether the work of a request ran at an upstream.
+// Ran reports whether a request ran at an upstream.
 type Ran string
 
-// The values of Ran. RanNo may be said only where nothing can have been sent.
+// Values of Ran. RanNo is allowed only if nothing was sent, or if the upstream
+// reported that it did not run the request.
 const (
 	RanNo      Ran = "no"
 	RanUnknown Ran = "unknown"
 	RanYes     Ran = "yes"
 )
 
-// A Refusal is a request given up.
+// A Refusal is the error response to a request that was rejected or failed.
 type Refusal struct {
-	// Status is the HTTP status.
+	// Status is the HTTP status code.
 	Status int
-	// Code is a short word for programs; Text a sentence for people.
+	// Code is machine-readable, Message is for people.
 	Code    string
 	Message string
-	// Param names the place in the request that was wrong, if any did.
+	// Param names the invalid part of the request; empty if there is none.
 	Param string
-	// Ran says whether the work ran.
+	// Ran reports whether the request ran.
 	Ran Ran
-	// RetryAfter is when coming back helps; zero where it does not.
+	// RetryAfter is the delay after which a retry may succeed; zero if a retry
+	// does not help.
 	RetryAfter time.Duration
 }
 
-// New returns a Refusal whose work did not run.
+// New returns a Refusal of a request that did not run.
 func New(status int, code, format string, args ...any) *Refusal {
 	return &Refusal{Status: status, Code: code, Message: fmt.Sprintf(format, args...), Ran: RanNo}
 }
 
-// BadRequest returns a Refusal of bad input at a place of the request.
+// BadRequest returns a Refusal with status 400 that names the invalid parameter.
 func BadRequest(param, code, format string, args ...any) *Refusal {
 	r := New(http.StatusBadRequest, code, format, args...)
 	r.Param = param
 	return r
 }
 
-// WithRetryAfter sets when coming back helps.
+// WithRetryAfter sets the delay after which a retry may succeed.
 func (r *Refusal) WithRetryAfter(after time.Duration) *Refusal {
 	r.RetryAfter = after
 	return r
 }
 
-// WithRan sets whether the work ran.
+// WithRan sets whether the request ran.
 func (r *Refusal) WithRan(ran Ran) *Refusal {
 	r.Ran = ran
 	return r
 }
 
-// String gives the refusal on one line.
+// String returns the code and the message on one line.
 func (r *Refusal) String() string {
 	return r.Code + ": " + r.Message
 }
 
-type body struct {
-	Error detail `json:"error"`
+type errorBody struct {
+	Error errorDetail `json:"error"`
 }
 
-type detail struct {
+type errorDetail struct {
 	Message string  `json:"message"`
 	Type    string  `json:"type"`
 	Param   *string `json:"param"`
@@ -91,20 +93,20 @@
 	Ran     Ran     `json:"ran"`
 }
 
-// Body is the refusal in the error shape of the OpenAI format.
+// Body returns the refusal as JSON in the error format of the OpenAI API.
 func (r *Refusal) Body() []byte {
-	d := detail{Message: r.Message, Type: kind(r.Status), Code: r.Code, Ran: r.Ran}
+	d := errorDetail{Message: r.Message, Type: errorType(r.Status), Code: r.Code, Ran: r.Ran}
 	if r.Param != "" {
 		d.Param = &r.Param
 	}
-	b, err := json.Marshal(body{Error: d})
+	b, err := json.Marshal(errorBody{Error: d})
 	if err != nil {
 		return []byte(`{"error":{"message":"no text","type":"server_error","param":null,"code":"internal"}}`)
 	}
 	return b
 }
 
-// Write answers a request that has had no byte of its answer yet.
+// Write sends the refusal. No part of the response may have been sent before.
 func (r *Refusal) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -112,9 +114,8 @@
 	if r.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(r.RetryAfter.Seconds()))))
 	}
-	// The client libraries of the format retry on their own unless told not
-	// to. Work that ran, or may have, must not be repeated by a library that
-	// cannot know.
+	// OpenAI client libraries retry by default. A request that ran, or may have
+	// run, must not be retried by a library that cannot know that.
 	if r.Ran != RanNo || r.RetryAfter == 0 {
 		h.Set("X-Should-Retry", "false")
 	}
@@ -122,7 +123,7 @@
 	w.Write(r.Body())
 }
 
-func kind(status int) string {
+func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
 		return "authentication_error"
