--- a/entry/request/reader/reader.go
+++ b/entry/request/reader/reader.go
@@ -1,7 +1,8 @@
-// Package reader reads request bodies within a bound on each and a bound over
-// all of them together. A prompt of a million tokens is several megabytes and
-// an entry VM is small: without the second bound a handful of long prompts at
-// once would end the process, and every stream on it.
+// Package reader reads request bodies. It limits the size of each body and the
+// memory of all bodies together. A prompt of a million tokens is several
+// megabytes and an entry VM is small: without the limit on the total, a handful
+// of concurrent long prompts would exhaust the memory of the process and end
+// every stream that it serves.
 package reader
 
 import (
@@ -14,66 +15,68 @@
 	"github.com/heathervane/heathervane/entry/request/refuser"
 )
 
-// CopiesPerBody is how many copies of a body stand in memory at worst while it is
-// parsed and sent on: as read, as the prompt taken from it, as encoded for the
-// upstream.
+// CopiesPerBody is the largest number of copies of a body in memory while it is
+// parsed and forwarded: the bytes read, the prompt extracted from them and the
+// body encoded for the upstream.
 const CopiesPerBody = 3
 
-// step is how much a body of unknown length reserves at a time, in bytes.
-const step = 64 << 10
+// initialReservation is the buffer size in bytes that a body of unknown length
+// starts with. The buffer doubles whenever it is full.
+const initialReservation = 64 << 10
 
-// retry is when a caller turned away for memory may come back: bodies are held
-// only until they are sent on, which takes less than this.
-const retry = time.Second
+// retryAfter is when a caller may retry after a rejection for lack of memory.
+// Bodies stay in memory only until they are forwarded, which takes less time.
+const retryAfter = time.Second
 
-// A MemoryBudget bounds bytes over all requests.
+// A MemoryBudget limits the bytes reserved by all requests together.
 type MemoryBudget interface {
 	Take(n int64) bool
 	Give(n int64)
 }
 
-// A Reader reads bodies.
+// A Reader reads request bodies within its limits.
 type Reader struct {
-	// MaxBytes is the longest body in bytes.
+	// MaxBytes is the size limit of one body.
 	MaxBytes int64
-	// Budget bounds the memory of all bodies.
+	// Budget limits the memory of all bodies.
 	Budget MemoryBudget
-	// Timeout is how long a body may take from its first byte to its last.
-	// A caller who sends half a body and stops would else hold its memory.
+	// Timeout limits the time for reading a body, so that a caller that stops
+	// in the middle of one does not keep its memory reserved.
 	Timeout time.Duration
 }
 
-// A Body is what was read. Its memory counts until Release.
+// A Body is a request body. Its memory stays reserved until Release.
 type Body struct {
-	Data   []byte
-	budget MemoryBudget
-	held   int64
+	Data     []byte
+	budget   MemoryBudget
+	reserved int64
 }
 
-// Release gives the body's memory back. It may be called more than once.
+// Release returns the body's memory to the budget. It may be called on nil, and
+// more than once.
 func (b *Body) Release() {
 	if b == nil {
 		return
 	}
-	b.budget.Give(b.held)
-	b.held = 0
+	b.budget.Give(b.reserved)
+	b.reserved = 0
 	b.Data = nil
 }
 
-// Read reads the body of a request, or says why not.
+// Read reads the body of a request. On failure it returns the refusal to send.
 func (r *Reader) Read(w http.ResponseWriter, q *http.Request) (*Body, *refuser.Refusal) {
 	if q.ContentLength > r.MaxBytes {
-		return nil, r.large()
+		return nil, r.tooLarge()
 	}
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(time.Now().Add(r.Timeout)); err == nil {
-		defer control.SetReadDeadline(time.Time{}) //nolint:errcheck // a closed connection shows at the next read
+		defer control.SetReadDeadline(time.Time{}) //nolint:errcheck // a closed connection fails the next read
 	}
 	b := &Body{budget: r.Budget}
 	if refusal := r.fill(b, q); refusal != nil {
 		b.Release()
-		// What is left of the body is not read: the connection is of no use
-		// to a later request.
+		// The rest of the body stays unread, so that the connection cannot be
+		// reused for another request.
 		w.Header().Set("Connection", "close")
 		return nil, refusal
 	}
@@ -83,50 +86,50 @@
 func (r *Reader) fill(b *Body, q *http.Request) *refuser.Refusal {
 	size := q.ContentLength
 	if size < 0 {
-		size = step
+		size = initialReservation
 	}
-	if !b.grow(size) {
-		return full()
+	if !b.reserve(size) {
+		return outOfMemory()
 	}
 	b.Data = make([]byte, 0, size+1)
 	for {
 		if len(b.Data) == cap(b.Data) {
-			if !b.grow(int64(cap(b.Data))) {
-				return full()
+			if !b.reserve(int64(cap(b.Data))) {
+				return outOfMemory()
 			}
 			b.Data = append(make([]byte, 0, 2*cap(b.Data)), b.Data...)
 		}
 		n, err := q.Body.Read(b.Data[len(b.Data):cap(b.Data)])
 		b.Data = b.Data[:len(b.Data)+n]
 		if int64(len(b.Data)) > r.MaxBytes {
-			return r.large()
+			return r.tooLarge()
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return broken(err)
+			return readFailure(err)
 		}
 	}
 }
 
-func (b *Body) grow(n int64) bool {
+func (b *Body) reserve(n int64) bool {
 	if !b.budget.Take(n * CopiesPerBody) {
 		return false
 	}
-	b.held += n * CopiesPerBody
+	b.reserved += n * CopiesPerBody
 	return true
 }
 
-func (r *Reader) large() *refuser.Refusal {
+func (r *Reader) tooLarge() *refuser.Refusal {
 	return refuser.New(http.StatusRequestEntityTooLarge, "body_too_large", "the body is longer than %d bytes", r.MaxBytes)
 }
 
-func full() *refuser.Refusal {
-	return refuser.New(http.StatusServiceUnavailable, "memory", "no memory is free for a body of this length").WithRetryAfter(retry)
+func outOfMemory() *refuser.Refusal {
+	return refuser.New(http.StatusServiceUnavailable, "memory", "no memory is free for a body of this length").WithRetryAfter(retryAfter)
 }
 
-func broken(err error) *refuser.Refusal {
+func readFailure(err error) *refuser.Refusal {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return refuser.New(http.StatusRequestTimeout, "body_slow", "the body did not arrive in time")
 	}
