--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -21,165 +21,165 @@
 )
 
 const (
-	// silence is how long an upstream may be silent in a stream that can go on
+	// maxSilence is how long an upstream may be silent in a stream that can go on
 	// elsewhere. A pass of a busy engine takes some hundred milliseconds.
-	silence = 1600 * time.Millisecond
-	// firstSpare is how much longer than estimated, and than its objective,
+	maxSilence = 1600 * time.Millisecond
+	// firstEventGrace is how much longer than estimated, and than its objective,
 	// the first event may take before the request goes elsewhere.
-	firstSpare = 1500 * time.Millisecond
-	// again is the wait after memory could not be set aside, or a place turned
+	firstEventGrace = 1500 * time.Millisecond
+	// retryDelay is the wait after memory could not be set aside, or a place turned
 	// out to be gone.
-	again = 30 * time.Millisecond
-	// leastLeft is the least time that an upstream is given: with less, it
+	retryDelay = 30 * time.Millisecond
+	// minTimeLeft is the least time that an upstream is given: with less, it
 	// would work for nobody.
-	leastLeft = 20 * time.Millisecond
+	minTimeLeft = 20 * time.Millisecond
 )
 
-// A try is one sending that brought the head of an answer.
-type try struct {
-	grant    *allocator.Place
-	holding  *reserver.Holding
-	exchange *carrier.Exchange
-	verdict  ResponseInfo
-	watch    *watch
-	cancel   context.CancelFunc
-	sent     time.Time
-	// began says that the first event has come.
-	began bool
+// A attempt is one sending that brought the head of an answer.
+type attempt struct {
+	grant       *allocator.Place
+	reservation *reserver.Holding
+	exchange    *carrier.Exchange
+	response    ResponseInfo
+	watchdog    *watchdog
+	cancel      context.CancelFunc
+	sentAt      time.Time
+	// firstEventSeen says that the first event has come.
+	firstEventSeen bool
 }
 
 // upstreams are all that work on a try.
-func (t *try) upstreams() []string {
-	ids := []string{t.grant.Upstream.ID}
-	for _, h := range t.grant.Helpers {
+func (a *attempt) upstreams() []string {
+	ids := []string{a.grant.Upstream.ID}
+	for _, h := range a.grant.Helpers {
 		ids = append(ids, h.ID)
 	}
 	return ids
 }
 
 // close ends a try. Memory that was set aside is given back, and the place.
-func (t *try) close() {
-	if t.watch != nil {
-		t.watch.stop()
+func (a *attempt) close() {
+	if a.watchdog != nil {
+		a.watchdog.stop()
 	}
-	if t.exchange != nil {
-		t.exchange.Close()
+	if a.exchange != nil {
+		a.exchange.Close()
 	}
-	if t.cancel != nil {
-		t.cancel()
+	if a.cancel != nil {
+		a.cancel()
 	}
-	if t.holding != nil {
-		t.holding.Release()
+	if a.reservation != nil {
+		a.reservation.Release()
 	}
-	t.grant.Done()
+	a.grant.Done()
 }
 
-// A step is how one sending ended.
-type step int
+// A outcome is how one sending ended.
+type outcome int
 
 const (
 	// answered is a sending whose answer goes to the caller.
-	answered step = iota
-	// failed is one that may be sent again if the bounds allow it.
-	failed
-	// repeated is one for which a repeat was granted already.
-	repeated
-	// over is one after which the request must not be sent again.
-	over
+	answered outcome = iota
+	// retryable is one that may be sent again if the bounds allow it.
+	retryable
+	// retryGranted is one for which a repeat was granted already.
+	retryGranted
+	// final is one after which the request must not be sent again.
+	final
 )
 
-// begin sends the request until an upstream answers it, or gives the refusal
+// sendUntilAnswered sends the request until an upstream answers it, or gives the refusal
 // with which it ends.
-func (r *Relayer) begin(ctx context.Context, j *job) (*try, *refuser.Refusal) {
+func (r *Relayer) sendUntilAnswered(ctx context.Context, j *job) (*attempt, *refuser.Refusal) {
 	ctx, release := r.deps.Quarantine.Guard(ctx, j.fingerprint)
 	defer release()
 	for {
-		t, refusal := r.place(ctx, j)
+		a, refusal := r.acquire(ctx, j)
 		if refusal != nil {
 			if after, held := r.deps.Quarantine.Held(j.fingerprint); held {
-				refusal = quarantined(after)
+				refusal = quarantineRefusal(after)
 			}
-			return nil, j.truthful(refusal)
+			return nil, j.correctRan(refusal)
 		}
-		if t == nil {
+		if a == nil {
 			continue
 		}
-		s := r.send(ctx, j, t)
+		s := r.send(ctx, j, a)
 		if s == answered {
-			return t, nil
+			return a, nil
 		}
-		t.close()
-		if s == over || (s == failed && !r.mayRepeat(ctx, j)) {
-			return nil, r.failed(ctx, j)
+		a.close()
+		if s == final || (s == retryable && !r.allowRetry(ctx, j)) {
+			return nil, r.failureRefusal(ctx, j)
 		}
 	}
 }
 
-// place gets a place, with memory set aside where the prompt needs it. It gives
-// neither a place nor a refusal where the place is gone already.
-func (r *Relayer) place(ctx context.Context, j *job) (*try, *refuser.Refusal) {
-	from := r.deps.Now()
-	leaves := time.Time{}
-	if j.route.Patience > 0 && !j.begun {
-		leaves = j.arrived.Add(j.route.Patience)
+// acquire gets a acquire, with memory set aside where the prompt needs it. It gives
+// neither a acquire nor a refusal where the acquire is gone already.
+func (r *Relayer) acquire(ctx context.Context, j *job) (*attempt, *refuser.Refusal) {
+	waitStart := r.deps.Now()
+	giveUpAt := time.Time{}
+	if j.route.Patience > 0 && !j.headerSent {
+		giveUpAt = j.arrivedAt.Add(j.route.Patience)
 	}
 	grant, refused := r.deps.Allocator.Acquire(ctx, scheduler.Call{
 		Service: j.service, Priority: j.priority(), Team: j.teamName(),
 		Ask: placer.Ask{
-			Prompt: j.ask.PromptTokens, Output: j.ask.MaxOutputTokens, Tried: j.tried, Pause: float64(j.route.Gap.Milliseconds()),
-			Arrived: j.arrived, Objective: j.arrived.Add(j.route.Objective), Deadline: j.end, Leaves: leaves,
+			Prompt: j.info.PromptTokens, Output: j.info.MaxOutputTokens, Tried: j.tried, Pause: float64(j.route.Gap.Milliseconds()),
+			Arrived: j.arrivedAt, Objective: j.arrivedAt.Add(j.route.Objective), Deadline: j.deadline, Leaves: giveUpAt,
 		},
 	})
 	now := r.deps.Now()
-	j.trace.waited += now.Sub(from)
+	j.log.queueTime += now.Sub(waitStart)
 	if refused != nil {
-		j.trace.waits = refused.Waits
+		j.log.waits = refused.Waits
 		return nil, refuser.New(http.StatusServiceUnavailable, refused.Code, "no upstream could answer it in time").WithRetryAfter(refused.After)
 	}
-	j.trace.waits = grant.Waits
-	t := &try{grant: grant}
+	j.log.waits = grant.Waits
+	a := &attempt{grant: grant}
 	if after, held := r.deps.Quarantine.Held(j.fingerprint); held {
-		t.close()
-		return nil, quarantined(after)
+		a.close()
+		return nil, quarantineRefusal(after)
 	}
 	// The end of the caller's connection is noticed by another goroutine, which
 	// on a busy VM may not have run since.
 	runtime.Gosched()
 	if ctx.Err() != nil {
-		t.close()
-		return nil, late()
+		a.close()
+		return nil, deadlineRefusal()
 	}
-	if !r.reserve(ctx, j, t) {
-		t.close()
-		return nil, pause(ctx)
+	if !r.reserveMemory(ctx, j, a) {
+		a.close()
+		return nil, waitRetryDelay(ctx)
 	}
 	// The process may have stood still since it chose.
-	if now = r.deps.Now(); !r.deps.Tracker.May(grant.Upstream.ID) || j.end.Sub(now) < leastLeft {
-		t.close()
-		if j.end.Sub(now) < leastLeft {
-			return nil, late()
+	if now = r.deps.Now(); !r.deps.Tracker.May(grant.Upstream.ID) || j.deadline.Sub(now) < minTimeLeft {
+		a.close()
+		if j.deadline.Sub(now) < minTimeLeft {
+			return nil, deadlineRefusal()
 		}
 		// Whoever gave the place may not know yet what this VM knows, and would
 		// give the same one again.
 		j.tried = append(j.tried, grant.Upstream.ID)
-		return nil, pause(ctx)
+		return nil, waitRetryDelay(ctx)
 	}
-	j.trace.upstream, j.trace.helpers = grant.Upstream.ID, nil
+	j.log.upstream, j.log.helpers = grant.Upstream.ID, nil
 	for _, h := range grant.Helpers {
-		j.trace.helpers = append(j.trace.helpers, h.ID)
+		j.log.helpers = append(j.log.helpers, h.ID)
 	}
-	j.trace.estimate, j.trace.load, j.trace.leader = grant.Estimate, grant.Load, grant.Leader
-	return t, nil
+	j.log.estimate, j.log.load, j.log.leader = grant.Estimate, grant.Load, grant.Leader
+	return a, nil
 }
 
-func late() *refuser.Refusal {
-	return refuser.New(http.StatusServiceUnavailable, scheduler.Late, "no upstream could answer it in time").WithRetryAfter(comeBack)
+func deadlineRefusal() *refuser.Refusal {
+	return refuser.New(http.StatusServiceUnavailable, scheduler.Late, "no upstream could answer it in time").WithRetryAfter(retryAfter)
 }
 
-// reserve sets memory aside where the grant asks for it.
-func (r *Relayer) reserve(ctx context.Context, j *job, t *try) bool {
+// reserveMemory sets memory aside where the grant asks for it.
+func (r *Relayer) reserveMemory(ctx context.Context, j *job, a *attempt) bool {
 	var parts []reserver.Part
-	for _, h := range t.grant.Helpers {
+	for _, h := range a.grant.Helpers {
 		if h.Tokens > 0 {
 			parts = append(parts, reserver.Part{Address: h.Address, Tokens: h.Tokens})
 		}
@@ -187,112 +187,112 @@
 	if len(parts) == 0 {
 		return true
 	}
-	j.trace.memory = len(parts)
-	holding, err := r.deps.Reserver.Reserve(ctx, j.ask.ID, parts)
+	j.log.reservations = len(parts)
+	holding, err := r.deps.Reserver.Reserve(ctx, j.info.ID, parts)
 	if err != nil {
 		r.deps.Meter.Count("memory.refused", 1)
 		return false
 	}
-	t.holding = holding
+	a.reservation = holding
 	return true
 }
 
-func pause(ctx context.Context) *refuser.Refusal {
-	t := time.NewTimer(again)
+func waitRetryDelay(ctx context.Context) *refuser.Refusal {
+	t := time.NewTimer(retryDelay)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-		return late()
+		return deadlineRefusal()
 	case <-t.C:
 		return nil
 	}
 }
 
 // send sends the request once. After answered the answer's head is in the try.
-func (r *Relayer) send(ctx context.Context, j *job, t *try) step {
-	if j.runs+j.refused == 0 {
+func (r *Relayer) send(ctx context.Context, j *job, a *attempt) outcome {
+	if j.possibleRuns+j.declines == 0 {
 		r.deps.RetryBudget.RecordRequest(j.service.Name)
 	}
-	id := t.grant.Upstream.ID
-	inner, cancel := context.WithCancel(ctx)
-	t.cancel, t.sent = cancel, r.deps.Now()
-	estimate := max(j.route.Objective, time.Duration(t.grant.Estimate*float64(time.Millisecond)))
-	t.watch = r.watch(j, estimate+firstSpare, cancel)
-	x, failure := r.deps.Carrier.Send(inner, t.grant.Upstream.Address, r.request(j, t, r.deps.Now()))
+	id := a.grant.Upstream.ID
+	attemptCtx, cancel := context.WithCancel(ctx)
+	a.cancel, a.sentAt = cancel, r.deps.Now()
+	estimate := max(j.route.Objective, time.Duration(a.grant.Estimate*float64(time.Millisecond)))
+	a.watchdog = r.startWatchdog(j, estimate+firstEventGrace, cancel)
+	x, failure := r.deps.Carrier.Send(attemptCtx, a.grant.Upstream.Address, r.newUpstreamRequest(j, a, r.deps.Now()))
 	if failure != nil {
-		return r.unanswered(ctx, j, t, failure)
+		return r.handleSendFailure(ctx, j, a, failure)
 	}
-	t.exchange = x
-	t.verdict = r.deps.Protocol.ParseResponse(x.Status, x.Header)
-	if t.verdict.ColdStart > 0 {
-		r.deps.Tracker.TurnedCold(r.deps.Now(), id, t.verdict.ColdStart)
+	a.exchange = x
+	a.response = r.deps.Protocol.ParseResponse(x.Status, x.Header)
+	if a.response.ColdStart > 0 {
+		r.deps.Tracker.TurnedCold(r.deps.Now(), id, a.response.ColdStart)
 	}
-	r.limit(j, t)
-	if foreign(j, x, t.verdict) {
+	r.recordRateLimit(j, a)
+	if isForeign(j, x, a.response) {
 		// It may be the answer to an earlier request on this connection, and
 		// nothing is known of ours.
-		j.runs++
-		r.note(j, id, "foreign answer")
-		return j.unlessOnce()
+		j.possibleRuns++
+		r.recordFailure(j, id, "foreign answer")
+		return j.afterPossibleRun()
 	}
-	if t.verdict.NotRun {
-		return r.declined(ctx, j, t)
+	if a.response.NotRun {
+		return r.handleDecline(ctx, j, a)
 	}
-	j.runs++
-	if !bad(x.Status) {
+	j.possibleRuns++
+	if !isServerError(x.Status) {
 		return answered
 	}
 	r.deps.Tracker.Failed(r.deps.Now(), id, false)
-	if j.route.Repeatable() && r.mayRepeat(ctx, j) {
-		r.note(j, id, "upstream failed")
-		return repeated
+	if j.route.Repeatable() && r.allowRetry(ctx, j) {
+		r.recordFailure(j, id, "upstream failed")
+		return retryGranted
 	}
 	return answered
 }
 
-// limit notes what an upstream says of how much it takes.
-func (r *Relayer) limit(j *job, t *try) {
-	l := tracker.Limit{Limited: t.verdict.RateLimited, Rate: t.verdict.RateLimit, AsOf: r.deps.Now()}
+// recordRateLimit notes what an upstream says of how much it takes.
+func (r *Relayer) recordRateLimit(j *job, a *attempt) {
+	l := tracker.Limit{Limited: a.response.RateLimited, Rate: a.response.RateLimit, AsOf: r.deps.Now()}
 	if !l.Limited {
 		// The answer may have been on its way when another one named the limit.
-		l.AsOf = t.sent
+		l.AsOf = a.sentAt
 	}
-	id := t.grant.Upstream.ID
+	id := a.grant.Upstream.ID
 	if old, changed := r.deps.Tracker.Limit(id, l); changed {
-		r.deps.Log.Info().Str("upstream", id).Str("id", j.ask.ID).Bool("limited", l.Limited).Float64("rate", l.Rate).
+		r.deps.Log.Info().Str("upstream", id).Str("id", j.info.ID).Bool("limited", l.Limited).Float64("rate", l.Rate).
 			Float64("before", old.Rate).Msg("limit of an upstream")
 	}
 }
 
-// unlessOnce is the step after a sending that may have run.
-func (j *job) unlessOnce() step {
+// afterPossibleRun is the step after a sending that may have run.
+func (j *job) afterPossibleRun() outcome {
 	if j.route.Repeatable() {
-		return failed
+		return retryable
 	}
-	return over
+	return final
 }
 
-func bad(status int) bool { return status >= http.StatusInternalServerError }
+func isServerError(status int) bool { return status >= http.StatusInternalServerError }
 
-// foreign says that an answer is not, or may not be, that of this request.
-func foreign(j *job, x *carrier.Exchange, v ResponseInfo) bool {
+// isForeign says that an answer is not, or may not be, that of this request.
+func isForeign(j *job, x *carrier.Exchange, v ResponseInfo) bool {
 	if v.ID != "" {
-		return v.ID != j.ask.ID
+		return v.ID != j.info.ID
 	}
 	return x.Reused || x.Status < http.StatusMultipleChoices
 }
 
-func (r *Relayer) request(j *job, t *try, now time.Time) carrier.Request {
+func (r *Relayer) newUpstreamRequest(j *job, a *attempt, now time.Time) carrier.Request {
 	o := ForwardInfo{
-		TimeLeft: j.end.Sub(now), Upstream: t.grant.Upstream.ID, Team: j.teamName(), LastEventID: j.lastEvent,
-		HighPriority: j.service.Engine != nil && placer.Short(j.service.Engine, j.ask.PromptTokens),
+		TimeLeft: j.deadline.Sub(now), Upstream: a.grant.Upstream.ID, Team: j.teamName(), LastEventID: j.lastEventID,
+		HighPriority: j.service.Engine != nil && placer.Short(j.service.Engine, j.info.PromptTokens),
 	}
-	named := 0
-	for _, h := range t.grant.Helpers {
+	reserved := 0
+	for _, h := range a.grant.Helpers {
 		helper := Helper{Address: h.Address}
 		if h.Tokens > 0 {
-			helper.Reservation = t.holding.Names[named]
-			named++
+			helper.Reservation = a.reservation.Names[reserved]
+			reserved++
 		}
 		o.Helpers = append(o.Helpers, helper)
 	}
@@ -302,49 +302,49 @@
 		// One that may run only once goes on no kept connection: where that
 		// turns out to be closed, nobody can tell whether it ran.
 		Fresh: !j.route.Repeatable(),
-		Idle:  r.deps.MaxIdleConns(j.service.Connections, t.grant.Upstream.ID),
+		Idle:  r.deps.MaxIdleConns(j.service.Connections, a.grant.Upstream.ID),
 	}
 	return q
 }
 
-// unanswered handles a sending without an answer.
-func (r *Relayer) unanswered(ctx context.Context, j *job, t *try, f *carrier.Failure) step {
-	id := t.grant.Upstream.ID
+// handleSendFailure handles a sending without an answer.
+func (r *Relayer) handleSendFailure(ctx context.Context, j *job, a *attempt, f *carrier.Failure) outcome {
+	id := a.grant.Upstream.ID
 	if f.Sent {
-		j.runs++
+		j.possibleRuns++
 	} else {
-		j.refused++
+		j.declines++
 	}
 	if ctx.Err() != nil {
-		return over
+		return final
 	}
-	if t.watch.granted.Load() {
-		r.stalled(j, t)
-		return repeated
+	if a.watchdog.retryGranted.Load() {
+		r.handleStall(j, a)
+		return retryGranted
 	}
-	r.lost(j, t, f)
-	r.note(j, id, f.Error())
+	r.recordLoss(j, a, f)
+	r.recordFailure(j, id, f.Error())
 	// A kept connection that was closed says nothing of the upstream.
 	r.deps.Tracker.Failed(r.deps.Now(), id, !f.Reused)
 	if !f.Sent {
-		return failed
+		return retryable
 	}
-	return j.unlessOnce()
+	return j.afterPossibleRun()
 }
 
-// lost notes that an upstream may have crashed under the request. One that answers
+// recordLoss notes that an upstream may have crashed under the request. One that answers
 // wrongly has not.
-func (r *Relayer) lost(j *job, t *try, err error) {
+func (r *Relayer) recordLoss(j *job, a *attempt, err error) {
 	var f *carrier.Failure
-	if (errors.As(err, &f) && !f.Sent) || !broken(err) {
+	if (errors.As(err, &f) && !f.Sent) || !isConnectionLoss(err) {
 		return
 	}
-	j.trace.losses = r.deps.Quarantine.Lost(j.fingerprint, t.grant.Upstream.ID, t.grant.Upstream.Born)
+	j.log.losses = r.deps.Quarantine.Lost(j.fingerprint, a.grant.Upstream.ID, a.grant.Upstream.Born)
 }
 
-// broken says that a connection was ended by the other side before its time.
-func broken(err error) bool {
-	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, errEventCut, syscall.ECONNRESET, syscall.EPIPE} {
+// isConnectionLoss says that a connection was ended by the other side before its time.
+func isConnectionLoss(err error) bool {
+	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, errTruncatedEvent, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
 			return true
 		}
@@ -352,100 +352,100 @@
 	return false
 }
 
-// stalled notes a try that its watch has ended. An upstream that answers others
+// handleStall notes a try that its watch has ended. An upstream that answers others
 // is not blamed for it; where only the way from here is cut, kept connections
 // are silent one after the other, and a new one shows it.
-func (r *Relayer) stalled(j *job, t *try) {
-	r.deps.Carrier.Drop(t.grant.Upstream.Address)
-	blamed := r.deps.Tracker.Stalled(r.deps.Now(), t.sent, t.upstreams())
-	if slices.Contains(blamed, t.grant.Upstream.ID) {
-		j.trace.losses = r.deps.Quarantine.Lost(j.fingerprint, t.grant.Upstream.ID, t.grant.Upstream.Born)
+func (r *Relayer) handleStall(j *job, a *attempt) {
+	r.deps.Carrier.Drop(a.grant.Upstream.Address)
+	blamed := r.deps.Tracker.Stalled(r.deps.Now(), a.sentAt, a.upstreams())
+	if slices.Contains(blamed, a.grant.Upstream.ID) {
+		j.log.losses = r.deps.Quarantine.Lost(j.fingerprint, a.grant.Upstream.ID, a.grant.Upstream.Born)
 	}
-	r.note(j, t.grant.Upstream.ID, "silent; blamed: "+strings.Join(blamed, " "))
+	r.recordFailure(j, a.grant.Upstream.ID, "silent; blamed: "+strings.Join(blamed, " "))
 	j.tried = append(j.tried, blamed...)
 }
 
-// declined handles an upstream that says that it did not run the request.
-func (r *Relayer) declined(ctx context.Context, j *job, t *try) step {
-	at := t.grant.Upstream.ID
-	for _, h := range t.grant.Helpers {
-		if t.verdict.FaultyAddress != "" && h.Address == t.verdict.FaultyAddress {
-			at = h.ID
+// handleDecline handles an upstream that says that it did not run the request.
+func (r *Relayer) handleDecline(ctx context.Context, j *job, a *attempt) outcome {
+	id := a.grant.Upstream.ID
+	for _, h := range a.grant.Helpers {
+		if a.response.FaultyAddress != "" && h.Address == a.response.FaultyAddress {
+			id = h.ID
 		}
 	}
-	j.refused++
-	r.note(j, at, "upstream declined")
-	if t.verdict.Misdirected {
-		r.deps.Tracker.Misplaced(at)
-		return failed
+	j.declines++
+	r.recordFailure(j, id, "upstream declined")
+	if a.response.Misdirected {
+		r.deps.Tracker.Misplaced(id)
+		return retryable
 	}
 	// An engine that cannot help is leaving or gone; one that takes no request
 	// itself may just be full.
-	helper := at != t.grant.Upstream.ID
-	r.deps.Tracker.Failed(r.deps.Now(), at, helper)
-	if helper {
-		r.deps.Tracker.Leaves(r.deps.Now(), at)
+	byHelper := id != a.grant.Upstream.ID
+	r.deps.Tracker.Failed(r.deps.Now(), id, byHelper)
+	if byHelper {
+		r.deps.Tracker.Leaves(r.deps.Now(), id)
 		r.deps.Prober.Probe(ctx, j.service)
 	}
-	return failed
+	return retryable
 }
 
-// mayRepeat says whether the request may be sent once more, and takes the
+// allowRetry says whether the request may be sent once more, and takes the
 // repeat from the budget if so.
-func (r *Relayer) mayRepeat(ctx context.Context, j *job) bool {
-	if ctx.Err() != nil || j.refused > mostRefused || j.runs >= max(1, j.route.Attempts) {
+func (r *Relayer) allowRetry(ctx context.Context, j *job) bool {
+	if ctx.Err() != nil || j.declines > maxDeclines || j.possibleRuns >= max(1, j.route.Attempts) {
 		return false
 	}
 	if _, held := r.deps.Quarantine.Held(j.fingerprint); held {
-		j.trace.cause += ", quarantined"
+		j.log.cause += ", quarantined"
 		return false
 	}
 	if !r.deps.RetryBudget.TakeRetry(j.service.Name) {
 		r.deps.Meter.Count("repeats.refused", 1)
-		j.trace.cause += ", no budget for a repeat"
+		j.log.cause += ", no budget for a repeat"
 		return false
 	}
 	r.deps.Meter.Count("repeats", 1)
 	return true
 }
 
-// note keeps what failed at an upstream, and that the request was there.
-func (r *Relayer) note(j *job, upstream, cause string) {
+// recordFailure keeps what failed at an upstream, and that the request was there.
+func (r *Relayer) recordFailure(j *job, upstream, cause string) {
 	j.tried = append(j.tried, upstream)
-	j.trace.cause = cause
+	j.log.cause = cause
 	r.deps.Meter.Count("failures", 1)
-	r.deps.Log.Info().Str("id", j.ask.ID).Stringer("fingerprint", j.fingerprint).Str("upstream", upstream).Str("cause", cause).
-		Int("runs", j.runs).Int("refused", j.refused).Int("losses", j.trace.losses).Msg("attempt failed")
+	r.deps.Log.Info().Str("id", j.info.ID).Stringer("fingerprint", j.fingerprint).Str("upstream", upstream).Str("cause", cause).
+		Int("runs", j.possibleRuns).Int("refused", j.declines).Int("losses", j.log.losses).Msg("attempt failed")
 }
 
-// failed is the refusal of a request that no upstream answered, or that may go to
+// failureRefusal is the refusal of a request that no upstream answered, or that may go to
 // none any more.
-func (r *Relayer) failed(ctx context.Context, j *job) *refuser.Refusal {
-	if after, held := r.deps.Quarantine.Held(j.fingerprint); held && j.runs == 0 {
-		return quarantined(after)
+func (r *Relayer) failureRefusal(ctx context.Context, j *job) *refuser.Refusal {
+	if after, held := r.deps.Quarantine.Held(j.fingerprint); held && j.possibleRuns == 0 {
+		return quarantineRefusal(after)
 	}
-	return j.failed(ctx)
+	return j.failureRefusal(ctx)
 }
 
-func (j *job) failed(ctx context.Context) *refuser.Refusal {
+func (j *job) failureRefusal(ctx context.Context) *refuser.Refusal {
 	switch {
-	case j.runs == 0:
-		return refuser.New(http.StatusServiceUnavailable, "declined", "no upstream took the request").WithRetryAfter(comeBack)
+	case j.possibleRuns == 0:
+		return refuser.New(http.StatusServiceUnavailable, "declined", "no upstream took the request").WithRetryAfter(retryAfter)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return refuser.New(http.StatusGatewayTimeout, "timeout", "the time limit is over").WithRan(refuser.RanUnknown)
 	}
-	return lost()
+	return lostRefusal()
 }
 
-func lost() *refuser.Refusal {
+func lostRefusal() *refuser.Refusal {
 	return refuser.New(http.StatusBadGateway, "lost", "an upstream took the request and its answer was lost").WithRan(refuser.RanUnknown)
 }
 
-// truthful makes of a refusal that says "not run" one that does not, where the
+// correctRan makes of a refusal that says "not run" one that does not, where the
 // request may have run.
-func (j *job) truthful(f *refuser.Refusal) *refuser.Refusal {
-	if j.runs == 0 || f.Status != http.StatusServiceUnavailable {
+func (j *job) correctRan(f *refuser.Refusal) *refuser.Refusal {
+	if j.possibleRuns == 0 || f.Status != http.StatusServiceUnavailable {
 		return f
 	}
-	return lost()
+	return lostRefusal()
 }
--- a/entry/request/relayer/harness_test.go
+++ b/entry/request/relayer/harness_test.go
@@ -33,16 +33,16 @@
 	"github.com/heathervane/heathervane/library/ticker"
 )
 
-// A dialect says everything in headers of its own.
-type dialect struct{}
+// A headerProtocol says everything in headers of its own.
+type headerProtocol struct{}
 
-func (dialect) ParseRequest(h http.Header) relayer.RequestInfo {
+func (headerProtocol) ParseRequest(h http.Header) relayer.RequestInfo {
 	prompt, _ := strconv.Atoi(h.Get("Prompt"))
 	limit, _ := time.ParseDuration(h.Get("Limit"))
 	return relayer.RequestInfo{ID: h.Get("Id"), Timeout: limit, APIKey: h.Get("Key"), PromptTokens: prompt, MaxOutputTokens: 10, LastEventID: h.Get("Last")}
 }
 
-func (dialect) ForwardHeader(from http.Header, o relayer.ForwardInfo) http.Header {
+func (headerProtocol) ForwardHeader(from http.Header, o relayer.ForwardInfo) http.Header {
 	h := trimmer.EndToEndHeaders(from)
 	h.Del("Content-Length")
 	h.Set("Upstream", o.Upstream)
@@ -54,14 +54,14 @@
 	return h
 }
 
-func (dialect) ParseResponse(status int, h http.Header) relayer.ResponseInfo {
+func (headerProtocol) ParseResponse(status int, h http.Header) relayer.ResponseInfo {
 	return relayer.ResponseInfo{
 		ID: h.Get("Id"), Sealed: h.Get("Sealed") != "", FaultyAddress: h.Get("Fault"),
 		NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest, Misdirected: status == http.StatusMisdirectedRequest,
 	}
 }
 
-func (dialect) EventID(event []byte) string {
+func (headerProtocol) EventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if id, ok := bytes.CutPrefix(line, []byte("id: ")); ok {
 			return string(bytes.TrimSpace(id))
@@ -70,42 +70,42 @@
 	return ""
 }
 
-// nobody is no other VM.
-type nobody struct{}
+// discardSender is no other VM.
+type discardSender struct{}
 
-func (nobody) Send(netip.AddrPort, []byte) error { return nil }
+func (discardSender) Send(netip.AddrPort, []byte) error { return nil }
 
-// A purse counts repeats and grants so many.
-type purse struct {
-	mu    sync.Mutex
-	left  int
-	taken int
+// A retryBudget counts repeats and grants so many.
+type retryBudget struct {
+	mu        sync.Mutex
+	remaining int
+	taken     int
 }
 
-func (p *purse) RecordRequest(string) {}
-func (p *purse) TakeRetry(string) bool {
+func (p *retryBudget) RecordRequest(string) {}
+func (p *retryBudget) TakeRetry(string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.left == 0 {
+	if p.remaining == 0 {
 		return false
 	}
-	p.left--
+	p.remaining--
 	p.taken++
 	return true
 }
 
-// memory takes orders and remembers what is held.
-type memory struct {
+// engineMemory takes orders and remembers what is held.
+type engineMemory struct {
 	mu   sync.Mutex
 	held map[string]int
 	full map[string]bool
-	// asked is called when memory is asked for; nil where nothing happens then.
-	asked func()
+	// onReserve is called when memory is onReserve for; nil where nothing happens then.
+	onReserve func()
 }
 
-func (m *memory) Reserve(_ context.Context, address, name string, tokens int, _ time.Duration) error {
-	if m.asked != nil {
-		m.asked()
+func (m *engineMemory) Reserve(_ context.Context, address, name string, tokens int, _ time.Duration) error {
+	if m.onReserve != nil {
+		m.onReserve()
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,56 +116,56 @@
 	return nil
 }
 
-func (m *memory) Release(_ context.Context, _, name string) error {
+func (m *engineMemory) Release(_ context.Context, _, name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.held, name)
 	return nil
 }
 
-func (m *memory) count() int {
+func (m *engineMemory) heldCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.held)
 }
 
-// late is a quarantine that may hold a request after it came.
-type late struct {
+// lateQuarantine is a quarantine that may hold a request after it came.
+type lateQuarantine struct {
 	held *atomic.Bool
 	*quarantiner.Quarantiner
 }
 
-func (q late) Held(f quarantiner.Fingerprint) (time.Duration, bool) {
+func (q lateQuarantine) Held(f quarantiner.Fingerprint) (time.Duration, bool) {
 	if q.held.Load() {
 		return time.Second, true
 	}
 	return q.Quarantiner.Held(f)
 }
 
-// An arrival is a request as an upstream saw it.
-type arrival struct {
+// An upstreamRequest is a request as an upstream saw it.
+type upstreamRequest struct {
 	upstream, id, method, target, body string
 	header                             http.Header
 }
 
-// A bench is a relayer before upstreams that a test scripts.
-type bench struct {
-	t       *testing.T
-	server  *httptest.Server
-	tracker *tracker.Tracker
-	carrier *carrier.Carrier
-	purse   *purse
-	memory  *memory
-	meter   *meter.Meter
-	table   *matcher.Table
-	left    atomic.Int64
+// A harness is a relayer before upstreams that a test scripts.
+type harness struct {
+	t          *testing.T
+	server     *httptest.Server
+	tracker    *tracker.Tracker
+	carrier    *carrier.Carrier
+	budget     *retryBudget
+	memory     *engineMemory
+	meter      *meter.Meter
+	table      *matcher.Table
+	shutdownIn atomic.Int64
 	// held has the quarantine say of each request that came that it is held now.
 	held atomic.Bool
 	// table is nil until configured is closed where there is such a channel.
 	configured chan struct{}
 
 	mu       sync.Mutex
-	arrivals []arrival
+	received []upstreamRequest
 }
 
 var engine = &matcher.Engine{
@@ -188,8 +188,8 @@
 	return c
 }
 
-// inForce is the configuration, once there is one.
-func (b *bench) inForce() *matcher.Table {
+// currentTable is the configuration, once there is one.
+func (b *harness) currentTable() *matcher.Table {
 	select {
 	case <-b.configured:
 		return b.table
@@ -198,39 +198,39 @@
 	}
 }
 
-func newBench(t *testing.T, c matcher.Config) *bench {
+func newHarness(t *testing.T, c matcher.Config) *harness {
 	t.Helper()
-	b := newUnconfigured(t, c)
+	b := newUnconfiguredHarness(t, c)
 	close(b.configured)
 	return b
 }
 
-// newUnconfigured has no configuration until the test closes configured.
-func newUnconfigured(t *testing.T, c matcher.Config) *bench {
+// newUnconfiguredHarness has no configuration until the test closes configured.
+func newUnconfiguredHarness(t *testing.T, c matcher.Config) *harness {
 	t.Helper()
-	b := &bench{
-		t: t, tracker: tracker.New(), carrier: carrier.New(time.Now), purse: &purse{left: 10}, meter: meter.New(),
-		memory: &memory{held: map[string]int{}, full: map[string]bool{}}, table: matcher.New(c),
+	b := &harness{
+		t: t, tracker: tracker.New(), carrier: carrier.New(time.Now), budget: &retryBudget{remaining: 10}, meter: meter.New(),
+		memory: &engineMemory{held: map[string]int{}, full: map[string]bool{}}, table: matcher.New(c),
 		configured: make(chan struct{}),
 	}
 	clock := ticker.New(time.Now, time.Millisecond)
 	go clock.Run(t.Context())
 	places := allocator.New(allocator.Member{VM: "me", Zone: "z"}, 1, allocator.Deps{
-		Tracker: b.tracker, Sender: nobody{}, Timer: clock, Meter: b.meter, Members: func() []allocator.Member { return nil },
+		Tracker: b.tracker, Sender: discardSender{}, Timer: clock, Meter: b.meter, Members: func() []allocator.Member { return nil },
 		Service:  func(name string) (*matcher.Service, bool) { return b.table.Service(name) },
 		ColdPart: func(string, float64, bool) int { return 0 }, Now: time.Now, Log: zerolog.Nop(),
 	})
 	r := relayer.New(relayer.Deps{
-		Table: b.inForce, Configured: b.configured, Protocol: dialect{}, Allocator: places, Tracker: b.tracker, Carrier: b.carrier,
+		Table: b.currentTable, Configured: b.configured, Protocol: headerProtocol{}, Allocator: places, Tracker: b.tracker, Carrier: b.carrier,
 		Reserver: reserver.New("me-", b.memory, func() time.Duration { return time.Second }, zerolog.Nop()),
 		Prober: prober.New(prober.Deps{
 			Tracker: b.tracker, Carrier: b.carrier, Meter: b.meter, Now: time.Now, Log: zerolog.Nop(),
-			Rejected: func(status int, h http.Header) bool { return dialect{}.ParseResponse(status, h).NotRun },
+			Rejected: func(status int, h http.Header) bool { return headerProtocol{}.ParseResponse(status, h).NotRun },
 		}),
 		MaxIdleConns: func(int, string) int { return 0 },
-		Quarantine:   late{&b.held, quarantiner.New(quarantiner.Deps{Meter: b.meter, Now: time.Now, Log: zerolog.Nop(), Spread: func() {}, MayTry: func(quarantiner.Fingerprint) bool { return false }})},
-		RetryBudget:  b.purse, BodyMemory: bounder.New(8 << 20), Meter: b.meter, Now: time.Now, Log: zerolog.Nop(),
-		ShuttingDown: func() (bool, time.Duration) { return b.left.Load() > 0, time.Duration(b.left.Load()) },
+		Quarantine:   lateQuarantine{&b.held, quarantiner.New(quarantiner.Deps{Meter: b.meter, Now: time.Now, Log: zerolog.Nop(), Spread: func() {}, MayTry: func(quarantiner.Fingerprint) bool { return false }})},
+		RetryBudget:  b.budget, BodyMemory: bounder.New(8 << 20), Meter: b.meter, Now: time.Now, Log: zerolog.Nop(),
+		ShuttingDown: func() (bool, time.Duration) { return b.shutdownIn.Load() > 0, time.Duration(b.shutdownIn.Load()) },
 	})
 	b.server = httptest.NewServer(r)
 	// Cleanups run last first: places are counted once all requests have ended,
@@ -241,13 +241,13 @@
 }
 
 // upstream adds an upstream of a service that answers by a script.
-func (b *bench) upstream(id, service string, script http.HandlerFunc) *httptest.Server {
+func (b *harness) upstream(id, service string, script http.HandlerFunc) *httptest.Server {
 	b.t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, err := io.ReadAll(q.Body)
 		assert.Check(b.t, err)
 		b.mu.Lock()
-		b.arrivals = append(b.arrivals, arrival{id, q.Header.Get("Id"), q.Method, q.RequestURI, string(body), q.Header.Clone()})
+		b.received = append(b.received, upstreamRequest{id, q.Header.Get("Id"), q.Method, q.RequestURI, string(body), q.Header.Clone()})
 		b.mu.Unlock()
 		w.Header().Set("Id", q.Header.Get("Id"))
 		script(w, q)
@@ -257,52 +257,52 @@
 	return server
 }
 
-func (b *bench) seen() []arrival {
+func (b *harness) requestsReceived() []upstreamRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]arrival(nil), b.arrivals...)
+	return append([]upstreamRequest(nil), b.received...)
 }
 
-var requests int
+var requestCount int
 
 // request makes a request of a route, with an id of its own.
-func (b *bench) request(method, target, body string) *http.Request {
+func (b *harness) request(method, target, body string) *http.Request {
 	b.t.Helper()
-	requests++
+	requestCount++
 	q, err := http.NewRequestWithContext(b.t.Context(), method, b.server.URL+target, strings.NewReader(body))
 	assert.NilError(b.t, err)
 	q.Host = "a.example"
-	q.Header.Set("Id", fmt.Sprintf("id-%d", requests))
+	q.Header.Set("Id", fmt.Sprintf("id-%d", requestCount))
 	q.Header.Set("Prompt", "1000")
 	return q
 }
 
-// An outcome is what a caller got.
-type outcome struct {
+// An result is what a caller got.
+type result struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-func (b *bench) do(q *http.Request) outcome {
+func (b *harness) do(q *http.Request) result {
 	b.t.Helper()
 	reply, err := http.DefaultTransport.RoundTrip(q)
 	if err != nil {
-		return outcome{err: err}
+		return result{err: err}
 	}
 	defer reply.Body.Close()
 	data, err := io.ReadAll(reply.Body)
-	return outcome{reply.StatusCode, reply.Header, string(data), err}
+	return result{reply.StatusCode, reply.Header, string(data), err}
 }
 
-func sealed(w http.ResponseWriter, _ *http.Request) {
+func answerSealed(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Sealed", "1")
 	io.WriteString(w, "done")
 }
 
-// hang breaks the connection without an answer.
-func hang(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }
+// dropConnection breaks the connection without an answer.
+func dropConnection(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }
 
 func decline(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Not-Run", "1")
@@ -327,7 +327,7 @@
 	}
 }
 
-func stream(to int) string {
+func eventText(to int) string {
 	var b strings.Builder
 	for i := 1; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %d\n\n", i, i)
--- a/entry/request/relayer/relayer.go
+++ b/entry/request/relayer/relayer.go
@@ -29,27 +29,27 @@
 )
 
 const (
-	// defaultLimit is how long a request may last where neither its caller nor
+	// defaultTimeout is how long a request may last where neither its caller nor
 	// its route says.
-	defaultLimit = 30 * time.Second
-	// comeBack is when a request refused for a passing reason may come back.
-	comeBack = 300 * time.Millisecond
-	// mostWhole is the longest answer in bytes that is held whole before its
+	defaultTimeout = 30 * time.Second
+	// retryAfter is when a request refused for a passing reason may come back.
+	retryAfter = 300 * time.Millisecond
+	// maxBufferedBytes is the longest answer in bytes that is held whole before its
 	// caller gets a byte, so that a cut one is a truthful failure.
-	mostWhole = 1 << 20
-	// mostRefused is how many upstreams may refuse a request, besides those
+	maxBufferedBytes = 1 << 20
+	// maxDeclines is how many upstreams may refuse a request, besides those
 	// that it may run at.
-	mostRefused = 3
-	// startTime is for how long after its start a process has requests wait for the
+	maxDeclines = 3
+	// startupWait is for how long after its start a process has requests wait for the
 	// configuration, and startShare which part of its time each may wait at most,
 	// as one over this.
-	startTime  = time.Second
-	startShare = 8
-	// bodyTime bounds the arrival of a body in a request without a limit.
-	bodyTime = 10 * time.Second
-	// writeSpare is how long after a request's end its answer may still be on
+	startupWait        = time.Second
+	startupWaitDivisor = 8
+	// maxBodyReadTime bounds the arrival of a body in a request without a limit.
+	maxBodyReadTime = 10 * time.Second
+	// writeGrace is how long after a request's end its answer may still be on
 	// its way to the caller, who may read slowly.
-	writeSpare = time.Second
+	writeGrace = time.Second
 )
 
 // A RequestInfo is what a caller says of its request.
@@ -172,52 +172,52 @@
 
 // A Relayer passes requests on.
 type Relayer struct {
-	deps  Deps
-	began time.Time
+	deps      Deps
+	startedAt time.Time
 }
 
 // New returns a Relayer.
-func New(d Deps) *Relayer { return &Relayer{deps: d, began: d.Now()} }
+func New(d Deps) *Relayer { return &Relayer{deps: d, startedAt: d.Now()} }
 
 // A job is one request on its way.
 type job struct {
-	ask     RequestInfo
-	route   *matcher.Route
-	service *matcher.Service
-	team    *matcher.Team
-	version int64
-	request *http.Request
-	body    *reader.Body
+	info          RequestInfo
+	route         *matcher.Route
+	service       *matcher.Service
+	team          *matcher.Team
+	configVersion int64
+	request       *http.Request
+	body          *reader.Body
 	// fingerprint names what is asked for, once its body is read.
 	fingerprint fingerprinter.Fingerprint
-	arrived     time.Time
-	// end is when the final answer must be out.
-	end time.Time
+	arrivedAt   time.Time
+	// deadline is when the final answer must be out.
+	deadline time.Time
 	// tried are the upstreams that failed it, runs those that may have run it,
 	// refused those that said that they did not.
-	tried   []string
-	runs    int
-	refused int
-	// lastEvent is the last event that the caller has, and begun says that it
+	tried        []string
+	possibleRuns int
+	declines     int
+	// lastEventID is the last event that the caller has, and begun says that it
 	// has the head of its answer.
-	lastEvent string
-	begun     bool
-	trace     trace
+	lastEventID string
+	headerSent  bool
+	log         requestLog
 }
 
-// A trace is what the request's log line tells.
-type trace struct {
-	waited time.Duration
+// A requestLog is what the request's log line tells.
+type requestLog struct {
+	queueTime time.Duration
 	// waits is why, for the last place.
-	waits scheduler.Waits
-	first time.Duration
-	// pause is the longest time between two events.
-	pause    time.Duration
-	upstream string
-	helpers  []string
-	memory   int
-	estimate float64
-	load     placer.Load
+	waits       scheduler.Waits
+	timeToFirst time.Duration
+	// maxPause is the longest time between two events.
+	maxPause     time.Duration
+	upstream     string
+	helpers      []string
+	reservations int
+	estimate     float64
+	load         placer.Load
 	// leader is the VM that gave the place; empty where this one did.
 	leader string
 	cause  string
@@ -233,49 +233,49 @@
 	if leaving, _ := r.deps.ShuttingDown(); leaving {
 		w.Header().Set("Connection", "close")
 	}
-	j := &job{ask: r.deps.Protocol.ParseRequest(q.Header), request: q, arrived: arrived}
+	j := &job{info: r.deps.Protocol.ParseRequest(q.Header), request: q, arrivedAt: arrived}
 	if refusal := r.accept(w, j); refusal != nil {
 		r.refuse(w, j, refusal)
 		return
 	}
 	defer j.body.Release()
 	control := http.NewResponseController(w)
-	if err := control.SetWriteDeadline(j.end.Add(writeSpare)); err != nil {
-		r.deps.Log.Warn().Str("id", j.ask.ID).Err(err).Msg("no bound on writing to the caller")
+	if err := control.SetWriteDeadline(j.deadline.Add(writeGrace)); err != nil {
+		r.deps.Log.Warn().Str("id", j.info.ID).Err(err).Msg("no bound on writing to the caller")
 	}
-	ctx, cancel := context.WithDeadline(q.Context(), j.end)
+	ctx, cancel := context.WithDeadline(q.Context(), j.deadline)
 	defer cancel()
 	if j.route.Kind == matcher.Stream {
-		r.stream(ctx, w, j)
+		r.serveStream(ctx, w, j)
 		return
 	}
-	r.whole(ctx, w, j)
+	r.serveBuffered(ctx, w, j)
 }
 
 // accept finds out what a request is, or why it is not served.
 func (r *Relayer) accept(w http.ResponseWriter, j *job) *refuser.Refusal {
-	table := r.await(j)
+	table := r.awaitTable(j)
 	if table == nil {
-		return refuser.New(http.StatusServiceUnavailable, "not_ready", "this VM has no configuration yet").WithRetryAfter(comeBack)
+		return refuser.New(http.StatusServiceUnavailable, "not_ready", "this VM has no configuration yet").WithRetryAfter(retryAfter)
 	}
-	j.version = table.Version
-	if refusal := r.identify(table, j); refusal != nil {
+	j.configVersion = table.Version
+	if refusal := r.resolve(table, j); refusal != nil {
 		return refusal
 	}
 	limit := j.route.Timeout
-	if j.ask.Timeout > 0 && (limit == 0 || j.ask.Timeout < limit) {
-		limit = j.ask.Timeout
+	if j.info.Timeout > 0 && (limit == 0 || j.info.Timeout < limit) {
+		limit = j.info.Timeout
 	}
 	if limit == 0 {
-		limit = defaultLimit
+		limit = defaultTimeout
 	}
-	j.end = j.arrived.Add(limit)
-	if leaving, left := r.deps.ShuttingDown(); leaving && left < r.lasts(j) {
-		return refuser.New(http.StatusServiceUnavailable, "leaving", "this VM is about to stop").WithRetryAfter(comeBack)
+	j.deadline = j.arrivedAt.Add(limit)
+	if leaving, left := r.deps.ShuttingDown(); leaving && left < r.expectedDuration(j) {
+		return refuser.New(http.StatusServiceUnavailable, "leaving", "this VM is about to stop").WithRetryAfter(retryAfter)
 	}
-	bodies := reader.Reader{MaxBytes: table.Limits.Body, Budget: r.deps.BodyMemory, Timeout: min(limit, bodyTime)}
+	bodies := reader.Reader{MaxBytes: table.Limits.Body, Budget: r.deps.BodyMemory, Timeout: min(limit, maxBodyReadTime)}
 	if bodies.MaxBytes <= 0 {
-		bodies.MaxBytes = mostWhole
+		bodies.MaxBytes = maxBufferedBytes
 	}
 	body, refusal := bodies.Read(w, j.request)
 	if refusal != nil {
@@ -286,25 +286,25 @@
 		Team: j.teamName(), Method: j.request.Method, Host: j.request.Host, Target: j.request.RequestURI, Body: body.Data,
 	})
 	if after, held := r.deps.Quarantine.Came(j.fingerprint); held {
-		return quarantined(after)
+		return quarantineRefusal(after)
 	}
 	return nil
 }
 
-func quarantined(after time.Duration) *refuser.Refusal {
+func quarantineRefusal(after time.Duration) *refuser.Refusal {
 	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the request has crashed the upstreams that ran it").WithRetryAfter(after)
 }
 
-// await gives the configuration. A process that has just started has it within some
+// awaitTable gives the configuration. A process that has just started has it within some
 // tens of milliseconds, and a request that is refused meanwhile is often lost: many
 // callers come back once at most, and all VMs may have started together.
-func (r *Relayer) await(j *job) *matcher.Table {
+func (r *Relayer) awaitTable(j *job) *matcher.Table {
 	if table := r.deps.Table(); table != nil {
 		return table
 	}
-	left := r.began.Add(startTime).Sub(r.deps.Now())
-	if j.ask.Timeout > 0 {
-		left = min(left, j.ask.Timeout/startShare)
+	left := r.startedAt.Add(startupWait).Sub(r.deps.Now())
+	if j.info.Timeout > 0 {
+		left = min(left, j.info.Timeout/startupWaitDivisor)
 	}
 	t := time.NewTimer(max(0, left))
 	defer t.Stop()
@@ -316,7 +316,7 @@
 	return r.deps.Table()
 }
 
-func (r *Relayer) identify(table *matcher.Table, j *job) *refuser.Refusal {
+func (r *Relayer) resolve(table *matcher.Table, j *job) *refuser.Refusal {
 	q := j.request
 	route, ok := table.Route(q.Host, q.RequestURI)
 	if !ok {
@@ -324,7 +324,7 @@
 	}
 	j.route = route
 	if table.Guarded() && !route.Anonymous {
-		if j.team, ok = table.Team(j.ask.APIKey); !ok {
+		if j.team, ok = table.Team(j.info.APIKey); !ok {
 			return refuser.New(http.StatusUnauthorized, "no_key", "the key is not known")
 		}
 	}
@@ -333,30 +333,30 @@
 		j.service, ok = table.Service(name)
 	}
 	if !ok {
-		return refuser.New(http.StatusServiceUnavailable, "no_service", "the route leads to no service").WithRetryAfter(comeBack)
+		return refuser.New(http.StatusServiceUnavailable, "no_service", "the route leads to no service").WithRetryAfter(retryAfter)
 	}
-	j.lastEvent = j.ask.LastEventID
+	j.lastEventID = j.info.LastEventID
 	return nil
 }
 
-// lasts is how long a request is expected to take at most, where a VM that
+// expectedDuration is how long a request is expected to take at most, where a VM that
 // leaves must know whether it still can end it.
-func (r *Relayer) lasts(j *job) time.Duration {
+func (r *Relayer) expectedDuration(j *job) time.Duration {
 	if j.route.Kind != matcher.Stream || j.service.Engine == nil {
-		return min(j.route.Timeout, usualCall)
+		return min(j.route.Timeout, typicalCallDuration)
 	}
 	e := j.service.Engine
-	pass := placer.Pass(e, e.Slots, e.Memory/usualShare)
-	answer := pass * float64(j.ask.MaxOutputTokens) / float64(max(1, e.Stride))
+	pass := placer.Pass(e, e.Slots, e.Memory/typicalMemoryDivisor)
+	answer := pass * float64(j.info.MaxOutputTokens) / float64(max(1, e.Stride))
 	return j.route.Objective + time.Duration(answer*float64(time.Millisecond))
 }
 
-// usualShare is what part of an engine's memory the streams have that run there
+// typicalMemoryDivisor is what part of an engine's memory the streams have that run there
 // together, as one over this.
-const usualShare = 4
+const typicalMemoryDivisor = 4
 
-// usualCall is how long a call of a plain service lasts at most, but for a few.
-const usualCall = 1500 * time.Millisecond
+// typicalCallDuration is how long a call of a plain service lasts at most, but for a few.
+const typicalCallDuration = 1500 * time.Millisecond
 
 // priority is the request's rank: its team's, then its route's.
 func (j *job) priority() int {
--- a/entry/request/relayer/stream.go
+++ b/entry/request/relayer/stream.go
@@ -10,166 +10,166 @@
 	"time"
 )
 
-// mostEvent is the longest event of a stream in bytes.
-const mostEvent = 1 << 20
+// maxEventBytes is the longest event of a stream in bytes.
+const maxEventBytes = 1 << 20
 
 var (
-	errEventCut  = errors.New("the stream ended inside an event")
-	errEventLong = errors.New("an event is too long")
+	errTruncatedEvent = errors.New("the stream ended inside an event")
+	errEventTooLong   = errors.New("an event is too long")
 )
 
-// A callerError is a failure to write to the caller, for which another upstream
+// A callerWriteError is a failure to write to the caller, for which another upstream
 // is no help.
-type callerError struct{ err error }
+type callerWriteError struct{ err error }
 
-func (e *callerError) Error() string { return "the caller does not read: " + e.err.Error() }
+func (e *callerWriteError) Error() string { return "the caller does not read: " + e.err.Error() }
 
-func (e *callerError) Unwrap() error { return e.err }
+func (e *callerWriteError) Unwrap() error { return e.err }
 
-// stream passes a request on whose answer is a stream of events. Only whole
-// events go on. Where the route allows, a stream that breaks goes on at another
+// serveStream passes a request on whose answer is a serveStream of events. Only whole
+// events go on. Where the route allows, a serveStream that breaks goes on at another
 // upstream after the last event that the caller has.
-func (r *Relayer) stream(ctx context.Context, w http.ResponseWriter, j *job) {
+func (r *Relayer) serveStream(ctx context.Context, w http.ResponseWriter, j *job) {
 	for {
-		t, refusal := r.begin(ctx, j)
+		a, refusal := r.sendUntilAnswered(ctx, j)
 		if refusal != nil {
-			if j.begun {
+			if j.headerSent {
 				r.abort(ctx, j, errors.New(refusal.Code))
 			}
 			r.refuse(w, j, refusal)
 			return
 		}
-		if t.exchange.Status >= http.StatusMultipleChoices {
-			r.plainAnswer(ctx, w, j, t)
+		if a.exchange.Status >= http.StatusMultipleChoices {
+			r.serveErrorResponse(ctx, w, j, a)
 			return
 		}
-		err := r.follow(w, j, t)
-		t.close()
+		err := r.relayEvents(w, j, a)
+		a.close()
 		if err == nil {
 			r.deps.Quarantine.Served(j.fingerprint)
-			r.done(j, http.StatusOK)
+			r.logRequest(j, http.StatusOK)
 			return
 		}
-		var unread *callerError
-		if errors.As(err, &unread) {
+		var writeErr *callerWriteError
+		if errors.As(err, &writeErr) {
 			r.abort(ctx, j, err)
 		}
-		if ctx.Err() == nil && t.watch.granted.Load() {
-			r.stalled(j, t)
+		if ctx.Err() == nil && a.watchdog.retryGranted.Load() {
+			r.handleStall(j, a)
 			continue
 		}
 		if ctx.Err() == nil {
-			r.lost(j, t, err)
-			r.note(j, t.grant.Upstream.ID, "stream cut: "+err.Error())
-			r.deps.Tracker.Failed(r.deps.Now(), t.grant.Upstream.ID, true)
+			r.recordLoss(j, a, err)
+			r.recordFailure(j, a.grant.Upstream.ID, "stream cut: "+err.Error())
+			r.deps.Tracker.Failed(r.deps.Now(), a.grant.Upstream.ID, true)
 		}
-		if j.route.Repeatable() && r.mayRepeat(ctx, j) {
+		if j.route.Repeatable() && r.allowRetry(ctx, j) {
 			continue
 		}
-		if j.begun {
+		if j.headerSent {
 			r.abort(ctx, j, err)
 		}
-		r.refuse(w, j, j.failed(ctx))
+		r.refuse(w, j, j.failureRefusal(ctx))
 		return
 	}
 }
 
-// plainAnswer passes on an upstream's failure.
-func (r *Relayer) plainAnswer(ctx context.Context, w http.ResponseWriter, j *job, t *try) {
-	a, err := read(t)
-	if err != nil || j.begun {
-		t.close()
-		if j.begun {
+// serveErrorResponse passes on an upstream's failure.
+func (r *Relayer) serveErrorResponse(ctx context.Context, w http.ResponseWriter, j *job, a *attempt) {
+	res, err := readResponse(a)
+	if err != nil || j.headerSent {
+		a.close()
+		if j.headerSent {
 			r.abort(ctx, j, errors.New("the upstream that was to go on failed"))
 		}
-		r.refuse(w, j, j.failed(ctx))
+		r.refuse(w, j, j.failureRefusal(ctx))
 		return
 	}
-	r.deliver(ctx, w, j, a)
+	r.deliver(ctx, w, j, res)
 }
 
-// follow passes on one upstream's events until the stream's end.
-func (r *Relayer) follow(w http.ResponseWriter, j *job, t *try) error {
-	x := t.exchange
-	if !t.verdict.Sealed || x.Header.Get("Content-Encoding") != "" {
+// relayEvents passes on one upstream's events until the stream's end.
+func (r *Relayer) relayEvents(w http.ResponseWriter, j *job, a *attempt) error {
+	x := a.exchange
+	if !a.response.Sealed || x.Header.Get("Content-Encoding") != "" {
 		return errUnsealed
 	}
 	events := bufio.NewReaderSize(x.Body, 1<<10)
 	control := http.NewResponseController(w)
 	var last time.Time
 	for {
-		event, err := next(events)
+		event, err := readEvent(events)
 		now := r.deps.Now()
 		if !last.IsZero() {
-			j.trace.pause = max(j.trace.pause, now.Sub(last))
+			j.log.maxPause = max(j.log.maxPause, now.Sub(last))
 		}
 		last = now
-		t.watch.heard(max(silence, 2*j.route.Gap))
+		a.watchdog.reset(max(maxSilence, 2*j.route.Gap))
 		if errors.Is(err, io.EOF) {
-			if !j.begun {
-				r.begun(w, j, t)
+			if !j.headerSent {
+				r.sendHeader(w, j, a)
 			}
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		r.heard(now, t)
-		if !j.begun {
-			r.begun(w, j, t)
+		r.recordEvent(now, a)
+		if !j.headerSent {
+			r.sendHeader(w, j, a)
 		}
 		if _, err := w.Write(event); err != nil {
-			return &callerError{err}
+			return &callerWriteError{err}
 		}
 		if err := control.Flush(); err != nil {
-			return &callerError{err}
+			return &callerWriteError{err}
 		}
 		if id := r.deps.Protocol.EventID(event); id != "" {
-			j.lastEvent = id
+			j.lastEventID = id
 		}
 	}
 }
 
-// heard notes an event of an upstream.
-func (r *Relayer) heard(now time.Time, t *try) {
-	if t.began {
-		r.deps.Tracker.Heard(now, t.grant.Upstream.ID)
+// recordEvent notes an event of an upstream.
+func (r *Relayer) recordEvent(now time.Time, a *attempt) {
+	if a.firstEventSeen {
+		r.deps.Tracker.Heard(now, a.grant.Upstream.ID)
 		return
 	}
-	t.began = true
-	r.deps.Tracker.Answered(now, t.grant.Upstream.ID)
-	t.grant.Began()
+	a.firstEventSeen = true
+	r.deps.Tracker.Answered(now, a.grant.Upstream.ID)
+	a.grant.Began()
 }
 
-// begun sends the head of the answer. A later upstream that goes on with the
+// sendHeader sends the head of the answer. A later upstream that goes on with the
 // stream does not change it.
-func (r *Relayer) begun(w http.ResponseWriter, j *job, t *try) {
-	r.head(w, j, t.exchange.Header)
+func (r *Relayer) sendHeader(w http.ResponseWriter, j *job, a *attempt) {
+	r.copyHeader(w, j, a.exchange.Header)
 	w.Header().Del("Content-Length")
-	w.WriteHeader(t.exchange.Status)
-	r.deps.Meter.Time("first", j.trace.first)
+	w.WriteHeader(a.exchange.Status)
+	r.deps.Meter.Time("first", j.log.timeToFirst)
 }
 
-// next reads one event with the blank line that ends it.
-func next(r *bufio.Reader) ([]byte, error) {
+// readEvent reads one event with the blank line that ends it.
+func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
 		line, err := r.ReadSlice('\n')
 		event = append(event, line...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-			if len(event) > mostEvent {
-				return nil, errEventLong
+			if len(event) > maxEventBytes {
+				return nil, errEventTooLong
 			}
 			continue
 		case errors.Is(err, io.EOF) && len(event) == 0:
 			return nil, io.EOF
 		case errors.Is(err, io.EOF):
-			return nil, errEventCut
+			return nil, errTruncatedEvent
 		case err != nil:
 			return nil, err
-		case len(event) > mostEvent:
-			return nil, errEventLong
+		case len(event) > maxEventBytes:
+			return nil, errEventTooLong
 		}
 		if bytes.HasSuffix(event, []byte("\n\n")) || bytes.HasSuffix(event, []byte("\n\r\n")) {
 			return event, nil
--- a/entry/request/relayer/whole.go
+++ b/entry/request/relayer/whole.go
@@ -12,38 +12,38 @@
 	"github.com/heathervane/heathervane/entry/request/trimmer"
 )
 
-// An answer is an upstream's whole answer, or so much of it as is held before
+// An response is an upstream's whole response, or so much of it as is held before
 // the caller gets a byte.
-type answer struct {
-	try  *try
-	data []byte
-	// more says that the rest is still to come.
-	more bool
+type response struct {
+	attempt *attempt
+	data    []byte
+	// partial says that the rest is still to come.
+	partial bool
 }
 
-// whole passes a request on whose answer is one piece.
-func (r *Relayer) whole(ctx context.Context, w http.ResponseWriter, j *job) {
+// serveBuffered passes a request on whose answer is one piece.
+func (r *Relayer) serveBuffered(ctx context.Context, w http.ResponseWriter, j *job) {
 	for {
-		t, refusal := r.begin(ctx, j)
+		a, refusal := r.sendUntilAnswered(ctx, j)
 		if refusal != nil {
 			r.refuse(w, j, refusal)
 			return
 		}
 		// It has answered: how long its answer takes to come is no silence.
-		t.watch.stop()
-		a, err := read(t)
+		a.watchdog.stop()
+		res, err := readResponse(a)
 		if err == nil {
-			r.deliver(ctx, w, j, a)
+			r.deliver(ctx, w, j, res)
 			return
 		}
-		t.close()
+		a.close()
 		if ctx.Err() == nil {
-			r.lost(j, t, err)
-			r.note(j, t.grant.Upstream.ID, "answer cut: "+err.Error())
-			r.deps.Tracker.Failed(r.deps.Now(), t.grant.Upstream.ID, false)
+			r.recordLoss(j, a, err)
+			r.recordFailure(j, a.grant.Upstream.ID, "answer cut: "+err.Error())
+			r.deps.Tracker.Failed(r.deps.Now(), a.grant.Upstream.ID, false)
 		}
-		if !j.route.Repeatable() || !r.mayRepeat(ctx, j) {
-			r.refuse(w, j, j.failed(ctx))
+		if !j.route.Repeatable() || !r.allowRetry(ctx, j) {
+			r.refuse(w, j, j.failureRefusal(ctx))
 			return
 		}
 	}
@@ -52,50 +52,50 @@
 // errUnsealed is an answer that is not an upstream's own.
 var errUnsealed = errors.New("the answer is not the upstream's own")
 
-// read reads an answer up to a bound.
-func read(t *try) (answer, error) {
-	x := t.exchange
-	if x.Status < http.StatusMultipleChoices && (!t.verdict.Sealed || x.Header.Get("Content-Encoding") != "") {
-		return answer{}, errUnsealed
+// readResponse reads an answer up to a bound.
+func readResponse(a *attempt) (response, error) {
+	x := a.exchange
+	if x.Status < http.StatusMultipleChoices && (!a.response.Sealed || x.Header.Get("Content-Encoding") != "") {
+		return response{}, errUnsealed
 	}
-	data, err := io.ReadAll(io.LimitReader(x.Body, mostWhole+1))
+	data, err := io.ReadAll(io.LimitReader(x.Body, maxBufferedBytes+1))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return answer{try: t, data: data, more: len(data) > mostWhole}, nil
+	return response{attempt: a, data: data, partial: len(data) > maxBufferedBytes}, nil
 }
 
 // deliver gives the caller an answer.
-func (r *Relayer) deliver(ctx context.Context, w http.ResponseWriter, j *job, a answer) {
-	defer a.try.close()
-	x := a.try.exchange
-	if promises(x.Status) {
+func (r *Relayer) deliver(ctx context.Context, w http.ResponseWriter, j *job, res response) {
+	defer res.attempt.close()
+	x := res.attempt.exchange
+	if impliesNotRun(x.Status) {
 		// Callers take these for "not run", and this upstream did not say so.
-		r.refuse(w, j, lost())
+		r.refuse(w, j, lostRefusal())
 		return
 	}
-	a.try.grant.Began()
-	r.deps.Tracker.Answered(r.deps.Now(), a.try.grant.Upstream.ID)
-	r.head(w, j, x.Header)
-	if !a.more && (len(a.data) > 0 || x.Header.Get("Content-Length") == "") && bodied(j.request.Method, x.Status) {
-		w.Header().Set("Content-Length", strconv.Itoa(len(a.data)))
+	res.attempt.grant.Began()
+	r.deps.Tracker.Answered(r.deps.Now(), res.attempt.grant.Upstream.ID)
+	r.copyHeader(w, j, x.Header)
+	if !res.partial && (len(res.data) > 0 || x.Header.Get("Content-Length") == "") && mayHaveBody(j.request.Method, x.Status) {
+		w.Header().Set("Content-Length", strconv.Itoa(len(res.data)))
 	}
 	w.WriteHeader(x.Status)
-	_, err := w.Write(a.data)
-	if err == nil && a.more {
+	_, err := w.Write(res.data)
+	if err == nil && res.partial {
 		_, err = io.Copy(w, x.Body)
 	}
 	if err != nil {
 		r.abort(ctx, j, err)
 	}
-	if !bad(x.Status) {
+	if !isServerError(x.Status) {
 		r.deps.Quarantine.Served(j.fingerprint)
 	}
-	r.done(j, x.Status)
+	r.logRequest(j, x.Status)
 }
 
-// promises says that callers read a status as "not run".
-func promises(status int) bool {
+// impliesNotRun says that callers read a status as "not run".
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -103,13 +103,13 @@
 	return false
 }
 
-// bodied says that an answer has a body, by RFC 9110, section 6.4.1.
-func bodied(method string, status int) bool {
+// mayHaveBody says that an answer has a body, by RFC 9110, section 6.4.1.
+func mayHaveBody(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// head sets the headers of an answer.
-func (r *Relayer) head(w http.ResponseWriter, j *job, from http.Header) {
+// copyHeader sets the headers of an answer.
+func (r *Relayer) copyHeader(w http.ResponseWriter, j *job, from http.Header) {
 	h := w.Header()
 	for name, values := range trimmer.EndToEndHeaders(from) {
 		h[name] = values
@@ -121,8 +121,8 @@
 	if h.Get("Content-Type") == "" {
 		h["Content-Type"] = nil
 	}
-	j.begun = true
-	j.trace.first = r.deps.Now().Sub(j.arrived)
+	j.headerSent = true
+	j.log.timeToFirst = r.deps.Now().Sub(j.arrivedAt)
 }
 
 // abort ends a connection whose answer cannot be whole. An end in good order
@@ -131,9 +131,9 @@
 	if ctx.Err() != nil {
 		err = context.Cause(ctx)
 	}
-	j.trace.cause = "answer broken off: " + err.Error()
+	j.log.cause = "answer broken off: " + err.Error()
 	r.deps.Meter.Count("aborted", 1)
-	r.done(j, 0)
+	r.logRequest(j, 0)
 	panic(http.ErrAbortHandler)
 }
 
@@ -142,8 +142,8 @@
 func (r *Relayer) refuse(w http.ResponseWriter, j *job, f *refuser.Refusal) {
 	if j.request.Context().Err() != nil {
 		// Its caller has gone.
-		j.trace.cause = "caller gone"
-		r.done(j, 0)
+		j.log.cause = "caller gone"
+		r.logRequest(j, 0)
 		panic(http.ErrAbortHandler)
 	}
 	h := w.Header()
@@ -152,49 +152,49 @@
 	if f.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', -1, 64))
 	}
-	if j.trace.cause == "" {
-		j.trace.cause = f.Code
+	if j.log.cause == "" {
+		j.log.cause = f.Code
 	} else {
-		j.trace.cause = f.Code + " after " + j.trace.cause
+		j.log.cause = f.Code + " after " + j.log.cause
 	}
 	r.deps.Meter.Count("refused."+f.Code, 1)
 	w.WriteHeader(f.Status)
 	w.Write(f.Body())
-	r.done(j, f.Status)
+	r.logRequest(j, f.Status)
 }
 
-// worthTelling is the wait from which the log says its reason: shorter ones are
+// minLoggedWait is the wait from which the log says its reason: shorter ones are
 // those of one look for a place.
-const worthTelling = 5 * time.Millisecond
+const minLoggedWait = 5 * time.Millisecond
 
-// done writes the request's log line.
-func (r *Relayer) done(j *job, status int) {
-	took := r.deps.Now().Sub(j.arrived)
-	t := &j.trace
-	line := r.deps.Log.Info().Str("id", j.ask.ID).Int("status", status).Int64("version", j.version)
+// logRequest writes the request's log line.
+func (r *Relayer) logRequest(j *job, status int) {
+	took := r.deps.Now().Sub(j.arrivedAt)
+	l := &j.log
+	line := r.deps.Log.Info().Str("id", j.info.ID).Int("status", status).Int64("version", j.configVersion)
 	if j.route != nil {
-		line.Str("route", j.route.Name).Str("team", j.teamName()).Dur("limit", j.end.Sub(j.arrived))
+		line.Str("route", j.route.Name).Str("team", j.teamName()).Dur("limit", j.deadline.Sub(j.arrivedAt))
 		r.deps.Meter.Time("request", took)
 	}
 	if j.body != nil {
 		line.Stringer("fingerprint", j.fingerprint)
 	}
 	if j.service != nil {
-		line.Str("service", j.service.Name).Int("prompt", j.ask.PromptTokens).Int("output", j.ask.MaxOutputTokens)
+		line.Str("service", j.service.Name).Int("prompt", j.info.PromptTokens).Int("output", j.info.MaxOutputTokens)
 	}
-	if t.upstream != "" {
-		line.Str("upstream", t.upstream).Strs("helpers", t.helpers).Int("memory", t.memory).
-			Float64("estimate", t.estimate).Int("streams", t.load.Streams).Float64("unread", t.load.Unread).
-			Int("runs", j.runs).Int("declined", j.refused)
+	if l.upstream != "" {
+		line.Str("upstream", l.upstream).Strs("helpers", l.helpers).Int("memory", l.reservations).
+			Float64("estimate", l.estimate).Int("streams", l.load.Streams).Float64("unread", l.load.Unread).
+			Int("runs", j.possibleRuns).Int("declined", j.declines)
 	}
-	if t.leader != "" {
-		line.Str("leader", t.leader)
+	if l.leader != "" {
+		line.Str("leader", l.leader)
 	}
-	if t.cause != "" {
-		line.Str("cause", t.cause)
+	if l.cause != "" {
+		line.Str("cause", l.cause)
 	}
-	if why, long := t.waits.Longest(); long >= worthTelling {
+	if why, long := l.waits.Longest(); long >= minLoggedWait {
 		line.Str("wait", why).Dur("longest", long)
 	}
-	line.Dur("waited", t.waited).Dur("first", t.first).Dur("pause", t.pause).Dur("took", took).Msg("request")
+	line.Dur("waited", l.queueTime).Dur("first", l.timeToFirst).Dur("pause", l.maxPause).Dur("took", took).Msg("request")
 }
