--- a/entry/process/allocator/asker.go
+++ b/entry/process/allocator/asker.go
@@ -23,7 +23,7 @@
 	silence  = 300 * time.Millisecond
 	// mostTick is the time between two ticks above which this VM itself was
 	// paused, and not the leaders.
-	mostTick = 3 * TickEvery
+	mostTick = 3 * TickInterval
 	// mostSilent is how many leaders may fail to answer before a VM decides
 	// alone, and mostSilentLong the same for a prompt that is read in parts: a
 	// place chosen without knowledge of the others' work harms many answers.
@@ -41,14 +41,14 @@
 // An ask is a request of this VM that waits for a place.
 type ask struct {
 	id    uint64
-	call  scheduler.Call
+	call  scheduler.Request
 	group Group
 	// hops is how often it was sent to another group, silent how many leaders
 	// have not answered it.
 	hops, silent int
 	// to is the leader that it was sent to; local is set where that is this VM.
 	to    netip.AddrPort
-	local *scheduler.Asked
+	local *scheduler.Pending
 	since time.Time
 	// first and sent are when it was sent to this leader, first and last, heard
 	// when that has last said that it waits there.
@@ -57,44 +57,44 @@
 }
 
 type answer struct {
-	place   *Place
+	place   *Placement
 	refusal *scheduler.Refusal
 }
 
 // Acquire waits for a place, or for the word that there will be none in time.
-func (a *Allocator) Acquire(ctx context.Context, c scheduler.Call) (*Place, *scheduler.Refusal) {
-	o := a.Ask(c)
+func (a *Allocator) Acquire(ctx context.Context, c scheduler.Request) (*Placement, *scheduler.Refusal) {
+	o := a.Submit(c)
 	select {
 	case r := <-o.ask.answer:
 		return r.place, r.refusal
 	case <-ctx.Done():
-		return nil, o.Leave()
+		return nil, o.Cancel()
 	}
 }
 
-// An Asked is a request for a place that may still wait.
-type Asked struct {
+// An Pending is a request for a place that may still wait.
+type Pending struct {
 	allocator *Allocator
 	ask       *ask
 }
 
-// Ask asks for a place without waiting for it.
-func (a *Allocator) Ask(c scheduler.Call) *Asked {
+// Submit asks for a place without waiting for it.
+func (a *Allocator) Submit(c scheduler.Request) *Pending {
 	o := &ask{call: c, answer: make(chan answer, 1)}
 	a.do(func(now time.Time) {
 		a.last++
 		o.id, o.since = a.last, now
-		o.call.Zone, o.call.Stop = a.me.Zone, a.stop
-		o.call.Avoid = a.deps.Tracker.Silent(now)
+		o.call.Zone, o.call.StopsAt = a.me.Zone, a.stop
+		o.call.Unreachable = a.deps.Tracker.Silent(now)
 		o.group = a.choose(c.Service.Name, a.me.Zone)
 		a.asks[o.id] = o
 		a.send(now, o)
 	})
-	return &Asked{a, o}
+	return &Pending{a, o}
 }
 
-// Reply gives the place or the refusal, once, and neither while it waits.
-func (o *Asked) Reply() (*Place, *scheduler.Refusal) {
+// Poll gives the place or the refusal, once, and neither while it waits.
+func (o *Pending) Poll() (*Placement, *scheduler.Refusal) {
 	select {
 	case r := <-o.ask.answer:
 		return r.place, r.refusal
@@ -103,14 +103,14 @@
 	}
 }
 
-// Leave takes the request back: its caller has gone, or its time is over.
-func (o *Asked) Leave() *scheduler.Refusal {
+// Cancel takes the request back: its caller has gone, or its time is over.
+func (o *Pending) Cancel() *scheduler.Refusal {
 	a := o.allocator
-	refusal := &scheduler.Refusal{Code: scheduler.Late, After: comeBack}
+	refusal := &scheduler.Refusal{Code: scheduler.CodeLate, RetryAfter: comeBack}
 	a.do(func(now time.Time) {
 		if _, ok := a.asks[o.ask.id]; ok {
-			refusal.Waits = a.withdraw(o.ask)
-			refusal.Waits.Add(now.Sub(o.ask.since))
+			refusal.WaitTimes = a.withdraw(o.ask)
+			refusal.WaitTimes.AddRemainder(now.Sub(o.ask.since))
 			delete(a.asks, o.ask.id)
 		}
 	})
@@ -118,7 +118,7 @@
 	case r := <-o.ask.answer:
 		// It was given a place in the moment it left.
 		if r.place != nil {
-			r.place.Done()
+			r.place.Release()
 		}
 	default:
 	}
@@ -163,7 +163,7 @@
 }
 
 func (o *ask) mostSilent() int {
-	if e := o.call.Service.Engine; e != nil && !placer.Short(e, o.call.Ask.Prompt) {
+	if e := o.call.Service.Engine; e != nil && !placer.IsShort(e, o.call.Requirements.Prompt) {
 		return mostSilentLong
 	}
 	return mostSilent
@@ -174,14 +174,14 @@
 	l := a.lead(now, o.group, false)
 	l.alone = !a.ranksHigh(o.group)
 	o.to, o.first = netip.AddrPort{}, now
-	asked := l.scheduler.Ask(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
+	asked := l.scheduler.Submit(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
 		if _, ok := a.asks[o.id]; !ok {
 			if g != nil {
-				g.Done()
+				g.Release()
 			}
 			return
 		}
-		if r != nil && r.Code == scheduler.None {
+		if r != nil && r.Code == scheduler.CodeNoUpstream {
 			if zone, ok := a.better(now, l, o.call, o.hops); ok {
 				a.divert(a.deps.Now(), o, zone)
 				return
@@ -192,9 +192,9 @@
 			o.answer <- answer{refusal: r}
 			return
 		}
-		a.give(now, o, &Place{
-			Upstream: g.Upstream.Upstream, Helpers: g.Helpers, Estimate: g.Estimate, Load: g.Load, Waits: g.Waits,
-			work: g.Work, grant: g,
+		a.give(now, o, &Placement{
+			Upstream: g.Upstream.Upstream, Helpers: g.Helpers, Estimate: g.Estimate, Load: g.Load, Waits: g.WaitTimes,
+			work: g.Workload, grant: g,
 		})
 	})
 	if _, waits := a.asks[o.id]; !waits || o.to.IsValid() || o.local != nil {
@@ -220,7 +220,7 @@
 	a.send(now, o)
 }
 
-func (a *Allocator) give(now time.Time, o *ask, p *Place) {
+func (a *Allocator) give(now time.Time, o *ask, p *Placement) {
 	p.allocator, p.id, p.group = a, o.id, o.group
 	a.places[p.id] = p
 	for _, at := range a.countedBy(now, p.group) {
@@ -235,9 +235,9 @@
 }
 
 // withdraw takes a request back from whoever was asked.
-func (a *Allocator) withdraw(o *ask) (w scheduler.Waits) {
+func (a *Allocator) withdraw(o *ask) (w scheduler.WaitTimes) {
 	if o.local != nil {
-		w = o.local.Leave()
+		w = o.local.Cancel()
 		o.local = nil
 		return w
 	}
--- a/entry/process/allocator/place.go
+++ b/entry/process/allocator/place.go
@@ -10,8 +10,8 @@
 	"github.com/heathervane/heathervane/entry/request/placer"
 )
 
-// A Place is a place at upstreams.
-type Place struct {
+// A Placement is a place at upstreams.
+type Placement struct {
 	Upstream tracker.Upstream
 	Helpers  []scheduler.Helper
 	// Estimate is the estimated time to the first event in milliseconds, and
@@ -19,7 +19,7 @@
 	Estimate float64
 	Load     placer.Load
 	// Waits is how long it was waited for, and why.
-	Waits scheduler.Waits
+	Waits scheduler.WaitTimes
 	// Leader is who gave it; empty where this VM did.
 	Leader string
 
@@ -27,29 +27,29 @@
 	allocator *Allocator
 	id        uint64
 	group     Group
-	work      scheduler.Work
+	work      scheduler.Workload
 	began     bool
 	ended     bool
 	// grant is what this VM's own scheduler counts of it.
 	grant *scheduler.Grant
 }
 
-// Began notes that the first event came.
-func (p *Place) Began() {
+// MarkStarted notes that the first event came.
+func (p *Placement) MarkStarted() {
 	p.allocator.do(func(now time.Time) {
 		if p.began || p.ended {
 			return
 		}
 		p.began = true
 		if p.grant != nil {
-			p.grant.Began()
+			p.grant.MarkStarted()
 		}
 		p.report(now, func(m *message) { m.Began = append(m.Began, p.id) })
 	})
 }
 
-// Done gives the place back. It may be called more than once.
-func (p *Place) Done() {
+// Release gives the place back. It may be called more than once.
+func (p *Placement) Release() {
 	p.allocator.do(func(now time.Time) {
 		if p.ended {
 			return
@@ -57,14 +57,14 @@
 		p.ended = true
 		delete(p.allocator.places, p.id)
 		if p.grant != nil {
-			p.grant.Done()
+			p.grant.Release()
 		}
 		p.report(now, func(m *message) { m.Ended = append(m.Ended, p.id) })
 	})
 }
 
 // report tells whoever counts the place: who gave it, and who leads now.
-func (p *Place) report(now time.Time, say func(*message)) {
+func (p *Placement) report(now time.Time, say func(*message)) {
 	if p.from.IsValid() {
 		say(p.allocator.to(p.from))
 	}
--- a/entry/process/joiner/list_test.go
+++ b/entry/process/joiner/list_test.go
@@ -27,7 +27,7 @@
 // slow is a platform whose list has two upstreams, and which takes a while to read
 // each entry.
 type slow struct {
-	reserver.Orderer
+	reserver.EngineClient
 	address string
 	// listed is closed when the list may be read.
 	listed chan struct{}
@@ -35,7 +35,7 @@
 
 // entryTime is what reading an entry takes: longer than the time between two looks
 // at what waits.
-const entryTime = 4 * allocator.TickEvery
+const entryTime = 4 * allocator.TickInterval
 
 func (p *slow) Newest(_ context.Context, stream string) ([]replicator.Record, int64, error) {
 	switch stream {
--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -37,8 +37,8 @@
 
 // A attempt is one sending that brought the head of an answer.
 type attempt struct {
-	grant       *allocator.Place
-	reservation *reserver.Holding
+	grant       *allocator.Placement
+	reservation *reserver.Reservation
 	exchange    *carrier.Exchange
 	response    ResponseInfo
 	watchdog    *watchdog
@@ -71,7 +71,7 @@
 	if a.reservation != nil {
 		a.reservation.Release()
 	}
-	a.grant.Done()
+	a.grant.Release()
 }
 
 // A outcome is how one sending ended.
@@ -91,7 +91,7 @@
 // sendUntilAnswered sends the request until an upstream answers it, or gives the refusal
 // with which it ends.
 func (r *Relayer) sendUntilAnswered(ctx context.Context, j *job) (*attempt, *refuser.Refusal) {
-	ctx, release := r.deps.Quarantine.Guard(ctx, j.fingerprint)
+	ctx, release := r.deps.Quarantine.CancelWhenHeld(ctx, j.fingerprint)
 	defer release()
 	for {
 		a, refusal := r.acquire(ctx, j)
@@ -123,18 +123,18 @@
 	if j.route.Patience > 0 && !j.headerSent {
 		giveUpAt = j.arrivedAt.Add(j.route.Patience)
 	}
-	grant, refused := r.deps.Allocator.Acquire(ctx, scheduler.Call{
+	grant, refused := r.deps.Allocator.Acquire(ctx, scheduler.Request{
 		Service: j.service, Priority: j.priority(), Team: j.teamName(),
-		Ask: placer.Ask{
-			Prompt: j.info.PromptTokens, Output: j.info.MaxOutputTokens, Tried: j.tried, Pause: float64(j.route.Gap.Milliseconds()),
-			Arrived: j.arrivedAt, Objective: j.arrivedAt.Add(j.route.Objective), Deadline: j.deadline, Leaves: giveUpAt,
+		Requirements: placer.Request{
+			Prompt: j.info.PromptTokens, Output: j.info.MaxOutputTokens, Tried: j.tried, MaxPause: float64(j.route.Gap.Milliseconds()),
+			Arrived: j.arrivedAt, Objective: j.arrivedAt.Add(j.route.Objective), Deadline: j.deadline, CallerTimeout: giveUpAt,
 		},
 	})
 	now := r.deps.Now()
 	j.log.queueTime += now.Sub(waitStart)
 	if refused != nil {
-		j.log.waits = refused.Waits
-		return nil, refuser.New(http.StatusServiceUnavailable, refused.Code, "no upstream could answer it in time").WithRetryAfter(refused.After)
+		j.log.waits = refused.WaitTimes
+		return nil, refuser.New(http.StatusServiceUnavailable, refused.Code, "no upstream could answer it in time").WithRetryAfter(refused.RetryAfter)
 	}
 	j.log.waits = grant.Waits
 	a := &attempt{grant: grant}
@@ -173,15 +173,15 @@
 }
 
 func deadlineRefusal() *refuser.Refusal {
-	return refuser.New(http.StatusServiceUnavailable, scheduler.Late, "no upstream could answer it in time").WithRetryAfter(retryAfter)
+	return refuser.New(http.StatusServiceUnavailable, scheduler.CodeLate, "no upstream could answer it in time").WithRetryAfter(retryAfter)
 }
 
 // reserveMemory sets memory aside where the grant asks for it.
 func (r *Relayer) reserveMemory(ctx context.Context, j *job, a *attempt) bool {
-	var parts []reserver.Part
+	var parts []reserver.EngineMemory
 	for _, h := range a.grant.Helpers {
-		if h.Tokens > 0 {
-			parts = append(parts, reserver.Part{Address: h.Address, Tokens: h.Tokens})
+		if h.ReservedTokens > 0 {
+			parts = append(parts, reserver.EngineMemory{Address: h.Address, Tokens: h.ReservedTokens})
 		}
 	}
 	if len(parts) == 0 {
@@ -285,12 +285,12 @@
 func (r *Relayer) newUpstreamRequest(j *job, a *attempt, now time.Time) carrier.Request {
 	o := ForwardInfo{
 		TimeLeft: j.deadline.Sub(now), Upstream: a.grant.Upstream.ID, Team: j.teamName(), LastEventID: j.lastEventID,
-		HighPriority: j.service.Engine != nil && placer.Short(j.service.Engine, j.info.PromptTokens),
+		HighPriority: j.service.Engine != nil && placer.IsShort(j.service.Engine, j.info.PromptTokens),
 	}
 	reserved := 0
 	for _, h := range a.grant.Helpers {
 		helper := Helper{Address: h.Address}
-		if h.Tokens > 0 {
+		if h.ReservedTokens > 0 {
 			helper.Reservation = a.reservation.Names[reserved]
 			reserved++
 		}
--- a/entry/request/relayer/harness_test.go
+++ b/entry/request/relayer/harness_test.go
@@ -217,8 +217,8 @@
 	go clock.Run(t.Context())
 	places := allocator.New(allocator.Member{VM: "me", Zone: "z"}, 1, allocator.Deps{
 		Tracker: b.tracker, Sender: discardSender{}, Timer: clock, Meter: b.meter, Members: func() []allocator.Member { return nil },
-		Service:  func(name string) (*matcher.Service, bool) { return b.table.Service(name) },
-		ColdPart: func(string, float64, bool) int { return 0 }, Now: time.Now, Log: zerolog.Nop(),
+		Service:        func(name string) (*matcher.Service, bool) { return b.table.Service(name) },
+		ColdStartQuota: func(string, float64, bool) int { return 0 }, Now: time.Now, Log: zerolog.Nop(),
 	})
 	r := relayer.New(relayer.Deps{
 		Table: b.currentTable, Configured: b.configured, Protocol: headerProtocol{}, Allocator: places, Tracker: b.tracker, Carrier: b.carrier,
@@ -228,14 +228,14 @@
 			Rejected: func(status int, h http.Header) bool { return headerProtocol{}.ParseResponse(status, h).NotRun },
 		}),
 		MaxIdleConns: func(int, string) int { return 0 },
-		Quarantine:   lateQuarantine{&b.held, quarantiner.New(quarantiner.Deps{Meter: b.meter, Now: time.Now, Log: zerolog.Nop(), Spread: func() {}, MayTry: func(quarantiner.Fingerprint) bool { return false }})},
+		Quarantine:   lateQuarantine{&b.held, quarantiner.New(quarantiner.Deps{Meter: b.meter, Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: func(quarantiner.Fingerprint) bool { return false }})},
 		RetryBudget:  b.budget, BodyMemory: bounder.New(8 << 20), Meter: b.meter, Now: time.Now, Log: zerolog.Nop(),
 		ShuttingDown: func() (bool, time.Duration) { return b.shutdownIn.Load() > 0, time.Duration(b.shutdownIn.Load()) },
 	})
 	b.server = httptest.NewServer(r)
 	// Cleanups run last first: places are counted once all requests have ended,
 	// which the server's Close waits for.
-	t.Cleanup(func() { assert.Check(t, len(places.Work()) == 0, "places were not given back: %v", places.Work()) })
+	t.Cleanup(func() { assert.Check(t, len(places.Loads()) == 0, "places were not given back: %v", places.Loads()) })
 	t.Cleanup(b.server.Close)
 	return b
 }
--- a/entry/request/relayer/stream.go
+++ b/entry/request/relayer/stream.go
@@ -138,7 +138,7 @@
 	}
 	a.firstEventSeen = true
 	r.deps.Tracker.Answered(now, a.grant.Upstream.ID)
-	a.grant.Began()
+	a.grant.MarkStarted()
 }
 
 // sendHeader sends the head of the answer. A later upstream that goes on with the
--- a/entry/request/relayer/whole.go
+++ b/entry/request/relayer/whole.go
@@ -74,7 +74,7 @@
 		r.refuse(w, j, lostRefusal())
 		return
 	}
-	res.attempt.grant.Began()
+	res.attempt.grant.MarkStarted()
 	r.deps.Tracker.Answered(r.deps.Now(), res.attempt.grant.Upstream.ID)
 	r.copyHeader(w, j, x.Header)
 	if !res.partial && (len(res.data) > 0 || x.Header.Get("Content-Length") == "") && mayHaveBody(j.request.Method, x.Status) {
@@ -184,7 +184,7 @@
 	}
 	if l.upstream != "" {
 		line.Str("upstream", l.upstream).Strs("helpers", l.helpers).Int("memory", l.reservations).
-			Float64("estimate", l.estimate).Int("streams", l.load.Streams).Float64("unread", l.load.Unread).
+			Float64("estimate", l.estimate).Int("streams", l.load.Streams).Float64("unread", l.load.PendingPrefill).
 			Int("runs", j.possibleRuns).Int("declined", j.declines)
 	}
 	if l.leader != "" {
