--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -21,21 +21,22 @@
 )
 
 const (
-	// maxSilence is how long an upstream may be silent in a stream that can go on
-	// elsewhere. A pass of a busy engine takes some hundred milliseconds.
+	// maxSilence is how long a stream that can be resumed at another upstream may
+	// pause. One pass of a busy engine takes some hundred milliseconds.
 	maxSilence = 1600 * time.Millisecond
-	// firstEventGrace is how much longer than estimated, and than its objective,
-	// the first event may take before the request goes elsewhere.
+	// firstEventGrace is added to the larger of the estimate and the objective of
+	// the time to the first event. After that the request goes to another upstream.
 	firstEventGrace = 1500 * time.Millisecond
-	// retryDelay is the wait after memory could not be set aside, or a place turned
-	// out to be gone.
+	// retryDelay is the wait after memory could not be reserved, or after a
+	// placement became unusable before the request was sent.
 	retryDelay = 30 * time.Millisecond
-	// minTimeLeft is the least time that an upstream is given: with less, it
-	// would work for nobody.
+	// minTimeLeft is the least time until the deadline with which a request is
+	// sent. With less, the response would come too late for the caller.
 	minTimeLeft = 20 * time.Millisecond
 )
 
-// A attempt is one sending that brought the head of an answer.
+// An attempt is one sending of a request to an upstream. Its exchange and response
+// are set once the response headers were received.
 type attempt struct {
 	grant       *allocator.Placement
 	reservation *reserver.Reservation
@@ -44,11 +45,11 @@
 	watchdog    *watchdog
 	cancel      context.CancelFunc
 	sentAt      time.Time
-	// firstEventSeen says that the first event has come.
+	// firstEventSeen is true once the first event of a stream was received.
 	firstEventSeen bool
 }
 
-// upstreams are all that work on a try.
+// upstreams returns the IDs of all upstreams that work on the attempt.
 func (a *attempt) upstreams() []string {
 	ids := []string{a.grant.Upstream.ID}
 	for _, h := range a.grant.Helpers {
@@ -57,7 +58,7 @@
 	return ids
 }
 
-// close ends a try. Memory that was set aside is given back, and the place.
+// close ends the attempt and releases its reserved memory and its placement.
 func (a *attempt) close() {
 	if a.watchdog != nil {
 		a.watchdog.stop()
@@ -74,22 +75,22 @@
 	a.grant.Release()
 }
 
-// A outcome is how one sending ended.
+// An outcome is the result of sending a request once.
 type outcome int
 
 const (
-	// answered is a sending whose answer goes to the caller.
+	// answered means that the response goes to the caller.
 	answered outcome = iota
-	// retryable is one that may be sent again if the bounds allow it.
+	// retryable means that the request may be sent again if allowRetry agrees.
 	retryable
-	// retryGranted is one for which a repeat was granted already.
+	// retryGranted means that the retry was already taken from the budget.
 	retryGranted
-	// final is one after which the request must not be sent again.
+	// final means that the request must not be sent again.
 	final
 )
 
-// sendUntilAnswered sends the request until an upstream answers it, or gives the refusal
-// with which it ends.
+// sendUntilAnswered sends the request until an upstream answers it. It returns a
+// refusal if none does.
 func (r *Relayer) sendUntilAnswered(ctx context.Context, j *job) (*attempt, *refuser.Refusal) {
 	ctx, release := r.deps.Quarantine.CancelWhenHeld(ctx, j.fingerprint)
 	defer release()
@@ -115,8 +116,9 @@
 	}
 }
 
-// acquire gets a acquire, with memory set aside where the prompt needs it. It gives
-// neither a acquire nor a refusal where the acquire is gone already.
+// acquire waits for a placement and reserves memory for prompts that need it. It
+// returns neither an attempt nor a refusal if the placement became unusable in the
+// meantime and the caller is to try again.
 func (r *Relayer) acquire(ctx context.Context, j *job) (*attempt, *refuser.Refusal) {
 	waitStart := r.deps.Now()
 	giveUpAt := time.Time{}
@@ -142,8 +144,8 @@
 		a.close()
 		return nil, quarantineRefusal(after)
 	}
-	// The end of the caller's connection is noticed by another goroutine, which
-	// on a busy VM may not have run since.
+	// Another goroutine detects that the caller has disconnected. On a busy VM it
+	// may not have run since.
 	runtime.Gosched()
 	if ctx.Err() != nil {
 		a.close()
@@ -153,14 +155,14 @@
 		a.close()
 		return nil, waitRetryDelay(ctx)
 	}
-	// The process may have stood still since it chose.
+	// The process may have been suspended since the upstream was chosen.
 	if now = r.deps.Now(); !r.deps.Tracker.May(grant.Upstream.ID) || j.deadline.Sub(now) < minTimeLeft {
 		a.close()
 		if j.deadline.Sub(now) < minTimeLeft {
 			return nil, deadlineRefusal()
 		}
-		// Whoever gave the place may not know yet what this VM knows, and would
-		// give the same one again.
+		// The VM that granted the placement may not know yet what this VM knows,
+		// and would grant the same upstream again.
 		j.tried = append(j.tried, grant.Upstream.ID)
 		return nil, waitRetryDelay(ctx)
 	}
@@ -176,7 +178,8 @@
 	return refuser.New(http.StatusServiceUnavailable, scheduler.CodeLate, "no upstream could answer it in time").WithRetryAfter(retryAfter)
 }
 
-// reserveMemory sets memory aside where the grant asks for it.
+// reserveMemory reserves memory at the helpers for which the placement asks for it.
+// It reports false if that failed.
 func (r *Relayer) reserveMemory(ctx context.Context, j *job, a *attempt) bool {
 	var parts []reserver.EngineMemory
 	for _, h := range a.grant.Helpers {
@@ -188,12 +191,12 @@
 		return true
 	}
 	j.log.reservations = len(parts)
-	holding, err := r.deps.Reserver.Reserve(ctx, j.info.ID, parts)
+	reservation, err := r.deps.Reserver.Reserve(ctx, j.info.ID, parts)
 	if err != nil {
 		r.deps.Meter.Count("memory.refused", 1)
 		return false
 	}
-	a.reservation = holding
+	a.reservation = reservation
 	return true
 }
 
@@ -208,7 +211,8 @@
 	}
 }
 
-// send sends the request once. After answered the answer's head is in the try.
+// send sends the request once. If the outcome is answered, the attempt has the
+// status and headers of the response.
 func (r *Relayer) send(ctx context.Context, j *job, a *attempt) outcome {
 	if j.possibleRuns+j.declines == 0 {
 		r.deps.RetryBudget.RecordRequest(j.service.Name)
@@ -229,10 +233,10 @@
 	}
 	r.recordRateLimit(j, a)
 	if isForeign(j, x, a.response) {
-		// It may be the answer to an earlier request on this connection, and
-		// nothing is known of ours.
+		// It may be the response to an earlier request on this connection. Whether
+		// this request ran is unknown.
 		j.possibleRuns++
-		r.recordFailure(j, id, "foreign answer")
+		r.recordFailure(j, id, "response to another request")
 		return j.afterPossibleRun()
 	}
 	if a.response.NotRun {
@@ -244,27 +248,28 @@
 	}
 	r.deps.Tracker.Failed(r.deps.Now(), id, false)
 	if j.route.Repeatable() && r.allowRetry(ctx, j) {
-		r.recordFailure(j, id, "upstream failed")
+		r.recordFailure(j, id, "upstream returned a server error")
 		return retryGranted
 	}
 	return answered
 }
 
-// recordRateLimit notes what an upstream says of how much it takes.
+// recordRateLimit passes the rate limit in an upstream's response, or its absence,
+// to the tracker.
 func (r *Relayer) recordRateLimit(j *job, a *attempt) {
 	l := tracker.Limit{Limited: a.response.RateLimited, Rate: a.response.RateLimit, AsOf: r.deps.Now()}
 	if !l.Limited {
-		// The answer may have been on its way when another one named the limit.
+		// This response may have been sent before another one that had a limit.
 		l.AsOf = a.sentAt
 	}
 	id := a.grant.Upstream.ID
 	if old, changed := r.deps.Tracker.Limit(id, l); changed {
 		r.deps.Log.Info().Str("upstream", id).Str("id", j.info.ID).Bool("limited", l.Limited).Float64("rate", l.Rate).
-			Float64("before", old.Rate).Msg("limit of an upstream")
+			Float64("before", old.Rate).Msg("rate limit of an upstream changed")
 	}
 }
 
-// afterPossibleRun is the step after a sending that may have run.
+// afterPossibleRun returns the outcome of an attempt that may have run the request.
 func (j *job) afterPossibleRun() outcome {
 	if j.route.Repeatable() {
 		return retryable
@@ -274,10 +279,10 @@
 
 func isServerError(status int) bool { return status >= http.StatusInternalServerError }
 
-// isForeign says that an answer is not, or may not be, that of this request.
-func isForeign(j *job, x *carrier.Exchange, v ResponseInfo) bool {
-	if v.ID != "" {
-		return v.ID != j.info.ID
+// isForeign reports whether a response belongs, or may belong, to another request.
+func isForeign(j *job, x *carrier.Exchange, info ResponseInfo) bool {
+	if info.ID != "" {
+		return info.ID != j.info.ID
 	}
 	return x.Reused || x.Status < http.StatusMultipleChoices
 }
@@ -299,15 +304,15 @@
 	q := carrier.Request{
 		Method: j.request.Method, Target: j.request.RequestURI, Host: j.request.Host,
 		Header: r.deps.Protocol.ForwardHeader(j.request.Header, o), Body: j.body.Data,
-		// One that may run only once goes on no kept connection: where that
-		// turns out to be closed, nobody can tell whether it ran.
+		// A request that may run only once is sent on a new connection. If a reused
+		// one turned out to be closed, it would be unknown whether the request ran.
 		Fresh: !j.route.Repeatable(),
 		Idle:  r.deps.MaxIdleConns(j.service.Connections, a.grant.Upstream.ID),
 	}
 	return q
 }
 
-// handleSendFailure handles a sending without an answer.
+// handleSendFailure handles an attempt without a response.
 func (r *Relayer) handleSendFailure(ctx context.Context, j *job, a *attempt, f *carrier.Failure) outcome {
 	id := a.grant.Upstream.ID
 	if f.Sent {
@@ -324,7 +329,7 @@
 	}
 	r.recordLoss(j, a, f)
 	r.recordFailure(j, id, f.Error())
-	// A kept connection that was closed says nothing of the upstream.
+	// A reused connection that was closed is no evidence against the upstream.
 	r.deps.Tracker.Failed(r.deps.Now(), id, !f.Reused)
 	if !f.Sent {
 		return retryable
@@ -332,8 +337,9 @@
 	return j.afterPossibleRun()
 }
 
-// recordLoss notes that an upstream may have crashed under the request. One that answers
-// wrongly has not.
+// recordLoss tells the quarantine that an upstream may have crashed while it ran the
+// request. It ignores errors other than a connection lost after the request was
+// sent: an upstream that responds wrongly has not crashed.
 func (r *Relayer) recordLoss(j *job, a *attempt, err error) {
 	var f *carrier.Failure
 	if (errors.As(err, &f) && !f.Sent) || !isConnectionLoss(err) {
@@ -342,7 +348,7 @@
 	j.log.losses = r.deps.Quarantine.Lost(j.fingerprint, a.grant.Upstream.ID, a.grant.Upstream.Born)
 }
 
-// isConnectionLoss says that a connection was ended by the other side before its time.
+// isConnectionLoss reports whether the upstream ended the connection prematurely.
 func isConnectionLoss(err error) bool {
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, errTruncatedEvent, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
@@ -352,20 +358,21 @@
 	return false
 }
 
-// handleStall notes a try that its watch has ended. An upstream that answers others
-// is not blamed for it; where only the way from here is cut, kept connections
-// are silent one after the other, and a new one shows it.
+// handleStall handles an attempt that its watchdog has ended. Upstreams that have
+// answered other requests since it was sent are not blamed. The idle connections to
+// the upstream are dropped: if only the network path from this VM is broken, each of
+// them would stall in turn, while opening a new one detects it.
 func (r *Relayer) handleStall(j *job, a *attempt) {
 	r.deps.Carrier.Drop(a.grant.Upstream.Address)
 	blamed := r.deps.Tracker.Stalled(r.deps.Now(), a.sentAt, a.upstreams())
 	if slices.Contains(blamed, a.grant.Upstream.ID) {
 		j.log.losses = r.deps.Quarantine.Lost(j.fingerprint, a.grant.Upstream.ID, a.grant.Upstream.Born)
 	}
-	r.recordFailure(j, a.grant.Upstream.ID, "silent; blamed: "+strings.Join(blamed, " "))
+	r.recordFailure(j, a.grant.Upstream.ID, "upstream stalled; blamed: "+strings.Join(blamed, " "))
 	j.tried = append(j.tried, blamed...)
 }
 
-// handleDecline handles an upstream that says that it did not run the request.
+// handleDecline handles a response that says that the request did not run.
 func (r *Relayer) handleDecline(ctx context.Context, j *job, a *attempt) outcome {
 	id := a.grant.Upstream.ID
 	for _, h := range a.grant.Helpers {
@@ -379,8 +386,8 @@
 		r.deps.Tracker.Misplaced(id)
 		return retryable
 	}
-	// An engine that cannot help is leaving or gone; one that takes no request
-	// itself may just be full.
+	// An engine that declines to help is leaving or gone. One that declines a
+	// request of its own may just be full.
 	byHelper := id != a.grant.Upstream.ID
 	r.deps.Tracker.Failed(r.deps.Now(), id, byHelper)
 	if byHelper {
@@ -390,8 +397,8 @@
 	return retryable
 }
 
-// allowRetry says whether the request may be sent once more, and takes the
-// repeat from the budget if so.
+// allowRetry reports whether the request may be sent once more. If so, the retry is
+// taken from the budget.
 func (r *Relayer) allowRetry(ctx context.Context, j *job) bool {
 	if ctx.Err() != nil || j.declines > maxDeclines || j.possibleRuns >= max(1, j.route.Attempts) {
 		return false
@@ -402,14 +409,14 @@
 	}
 	if !r.deps.RetryBudget.TakeRetry(j.service.Name) {
 		r.deps.Meter.Count("repeats.refused", 1)
-		j.log.cause += ", no budget for a repeat"
+		j.log.cause += ", retry budget exhausted"
 		return false
 	}
 	r.deps.Meter.Count("repeats", 1)
 	return true
 }
 
-// recordFailure keeps what failed at an upstream, and that the request was there.
+// recordFailure logs a failed attempt and adds the upstream to those tried.
 func (r *Relayer) recordFailure(j *job, upstream, cause string) {
 	j.tried = append(j.tried, upstream)
 	j.log.cause = cause
@@ -418,8 +425,8 @@
 		Int("runs", j.possibleRuns).Int("refused", j.declines).Int("losses", j.log.losses).Msg("attempt failed")
 }
 
-// failureRefusal is the refusal of a request that no upstream answered, or that may go to
-// none any more.
+// failureRefusal returns the refusal of a request that no upstream answered and that
+// must not be sent again.
 func (r *Relayer) failureRefusal(ctx context.Context, j *job) *refuser.Refusal {
 	if after, held := r.deps.Quarantine.Held(j.fingerprint); held && j.possibleRuns == 0 {
 		return quarantineRefusal(after)
@@ -441,8 +448,8 @@
 	return refuser.New(http.StatusBadGateway, "lost", "an upstream took the request and its answer was lost").WithRan(refuser.RanUnknown)
 }
 
-// correctRan makes of a refusal that says "not run" one that does not, where the
-// request may have run.
+// correctRan replaces a refusal that reports the request as not run if an earlier
+// attempt may have run it.
 func (j *job) correctRan(f *refuser.Refusal) *refuser.Refusal {
 	if j.possibleRuns == 0 || f.Status != http.StatusServiceUnavailable {
 		return f
--- a/entry/request/relayer/crash_test.go
+++ b/entry/request/relayer/crash_test.go
@@ -8,8 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A request that breaks each engine that runs it would take down one after the other.
-func TestRequestThatCrashesEnginesIsNotSentOn(t *testing.T) {
+// A request that crashes every upstream that runs it must be quarantined, or retries
+// would take down one upstream after another.
+func TestRequestThatCrashesUpstreamsIsQuarantined(t *testing.T) {
 	const poison, mostRuns = "poison", 3
 	b := newHarness(t, routes())
 	b.budget.remaining = 1000
@@ -22,7 +23,7 @@
 	for range 6 {
 		b.do(b.request(http.MethodPost, "/safe/x", poison))
 	}
-	assert.Assert(t, len(b.requestsReceived()) <= mostRuns, "it was sent to %d upstreams", len(b.requestsReceived()))
+	assert.Assert(t, len(b.requestsReceived()) <= mostRuns, "the request was sent to %d upstreams", len(b.requestsReceived()))
 	o := b.do(b.request(http.MethodPost, "/safe/x", poison))
 	assert.Equal(t, o.status, http.StatusServiceUnavailable)
 	assert.Equal(t, o.header.Get("Heathervane-Ran"), "no")
@@ -31,9 +32,9 @@
 	assert.Equal(t, o.body, eventText(3), "the same body on another path was not served")
 }
 
-// A service that dies without a word ends no connection, and the request goes on to the
-// next after a while.
-func TestRequestThatSilencesUpstreamsIsNotSentOn(t *testing.T) {
+// An upstream that hangs without closing the connection counts as lost, too: the
+// request is sent to the next one after a while, and must be quarantined in time.
+func TestRequestThatStallsUpstreamsIsQuarantined(t *testing.T) {
 	const poison = "poison"
 	b := newHarness(t, routes())
 	b.budget.remaining = 1000
@@ -46,7 +47,7 @@
 		return b.do(q)
 	}
 	for range 3 {
-		assert.Assert(t, ask().status != http.StatusServiceUnavailable, "it may have run")
+		assert.Assert(t, ask().status != http.StatusServiceUnavailable, "the request may have run")
 	}
 	before := len(b.requestsReceived())
 	o := ask()
@@ -55,8 +56,9 @@
 	assert.Equal(t, len(b.requestsReceived()), before)
 }
 
-// A request is found out by another VM between its arrival here and its sending.
-func TestRequestThatIsHeldAfterItCameIsNotSent(t *testing.T) {
+// Another VM may put a request into quarantine after it arrived at this VM and before
+// it is sent. It must not be sent then.
+func TestRequestHeldAfterArrivalIsNotSent(t *testing.T) {
 	b := newHarness(t, routes())
 	b.upstream("u", "plain", answerSealed)
 	b.held.Store(true)
--- a/entry/request/relayer/harness_test.go
+++ b/entry/request/relayer/harness_test.go
@@ -33,7 +33,7 @@
 	"github.com/heathervane/heathervane/library/ticker"
 )
 
-// A headerProtocol says everything in headers of its own.
+// A headerProtocol uses plain headers named after the fields.
 type headerProtocol struct{}
 
 func (headerProtocol) ParseRequest(h http.Header) relayer.RequestInfo {
@@ -70,36 +70,37 @@
 	return ""
 }
 
-// discardSender is no other VM.
+// A discardSender drops the datagrams for other VMs.
 type discardSender struct{}
 
 func (discardSender) Send(netip.AddrPort, []byte) error { return nil }
 
-// A retryBudget counts repeats and grants so many.
+// A retryBudget grants a fixed number of retries and counts them.
 type retryBudget struct {
 	mu        sync.Mutex
 	remaining int
 	taken     int
 }
 
-func (p *retryBudget) RecordRequest(string) {}
-func (p *retryBudget) TakeRetry(string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.remaining == 0 {
+func (b *retryBudget) RecordRequest(string) {}
+func (b *retryBudget) TakeRetry(string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.remaining == 0 {
 		return false
 	}
-	p.remaining--
-	p.taken++
+	b.remaining--
+	b.taken++
 	return true
 }
 
-// engineMemory takes orders and remembers what is held.
+// An engineMemory stands in for the memory of all engines and records what is
+// reserved.
 type engineMemory struct {
 	mu   sync.Mutex
 	held map[string]int
 	full map[string]bool
-	// onReserve is called when memory is onReserve for; nil where nothing happens then.
+	// onReserve, if not nil, is called before each reservation.
 	onReserve func()
 }
 
@@ -129,7 +130,7 @@
 	return len(m.held)
 }
 
-// lateQuarantine is a quarantine that may hold a request after it came.
+// A lateQuarantine can hold a request after its arrival.
 type lateQuarantine struct {
 	held *atomic.Bool
 	*quarantiner.Quarantiner
@@ -142,13 +143,13 @@
 	return q.Quarantiner.Held(f)
 }
 
-// An upstreamRequest is a request as an upstream saw it.
+// An upstreamRequest is a request as an upstream received it.
 type upstreamRequest struct {
 	upstream, id, method, target, body string
 	header                             http.Header
 }
 
-// A harness is a relayer before upstreams that a test scripts.
+// A harness runs a relayer with upstreams that respond as a test defines.
 type harness struct {
 	t          *testing.T
 	server     *httptest.Server
@@ -159,9 +160,9 @@
 	meter      *meter.Meter
 	table      *matcher.Table
 	shutdownIn atomic.Int64
-	// held has the quarantine say of each request that came that it is held now.
+	// held makes the quarantine hold every request that has arrived.
 	held atomic.Bool
-	// table is nil until configured is closed where there is such a channel.
+	// configured is closed once the relayer is to see the table.
 	configured chan struct{}
 
 	mu       sync.Mutex
@@ -188,7 +189,7 @@
 	return c
 }
 
-// currentTable is the configuration, once there is one.
+// currentTable returns the configuration, or nil before configured is closed.
 func (b *harness) currentTable() *matcher.Table {
 	select {
 	case <-b.configured:
@@ -205,7 +206,8 @@
 	return b
 }
 
-// newUnconfiguredHarness has no configuration until the test closes configured.
+// newUnconfiguredHarness returns a harness without a configuration until the test
+// closes configured.
 func newUnconfiguredHarness(t *testing.T, c matcher.Config) *harness {
 	t.Helper()
 	b := &harness{
@@ -233,14 +235,14 @@
 		ShuttingDown: func() (bool, time.Duration) { return b.shutdownIn.Load() > 0, time.Duration(b.shutdownIn.Load()) },
 	})
 	b.server = httptest.NewServer(r)
-	// Cleanups run last first: places are counted once all requests have ended,
-	// which the server's Close waits for.
-	t.Cleanup(func() { assert.Check(t, len(places.Loads()) == 0, "places were not given back: %v", places.Loads()) })
+	// Cleanups run in reverse order: the server's Close waits for all requests to
+	// end, then the placements still in use are counted.
+	t.Cleanup(func() { assert.Check(t, len(places.Loads()) == 0, "placements were not released: %v", places.Loads()) })
 	t.Cleanup(b.server.Close)
 	return b
 }
 
-// upstream adds an upstream of a service that answers by a script.
+// upstream adds an upstream of a service that responds with script.
 func (b *harness) upstream(id, service string, script http.HandlerFunc) *httptest.Server {
 	b.t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -265,7 +267,7 @@
 
 var requestCount int
 
-// request makes a request of a route, with an id of its own.
+// request returns a request with a unique ID.
 func (b *harness) request(method, target, body string) *http.Request {
 	b.t.Helper()
 	requestCount++
@@ -277,7 +279,7 @@
 	return q
 }
 
-// An result is what a caller got.
+// A result is what a caller got.
 type result struct {
 	status int
 	header http.Header
@@ -301,7 +303,7 @@
 	io.WriteString(w, "done")
 }
 
-// dropConnection breaks the connection without an answer.
+// dropConnection closes the connection without a response.
 func dropConnection(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }
 
 func decline(w http.ResponseWriter, _ *http.Request) {
@@ -309,8 +311,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// events sends events with ids from one after the last that the caller has, up
-// to an id; then it breaks off or ends.
+// events sends the events after the last one that the caller has, up to the given
+// ID. Then it ends the stream or, with cut, drops the connection within an event.
 func events(to int, cut bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		w.Header().Set("Sealed", "1")
--- a/entry/request/relayer/relayer.go
+++ b/entry/request/relayer/relayer.go
@@ -1,11 +1,13 @@
-// Package relayer passes requests of any kind on to upstreams, and their
-// answers back, byte for byte. What may be repeated follows from the route and
-// never from the method. "Not run" is said only where nothing was sent, or the
-// upstream said so: a caller who is told so tries again, and a booking made
-// twice charges a member twice.
+// Package relayer is the reverse proxy of an entry VM. It forwards requests to
+// upstreams, and their responses to callers, byte for byte.
 //
-// How callers and upstreams say things is a Dialect's matter, where a request
-// goes the allocator's.
+// Whether a request may be retried depends on its route, never on its method. A
+// request is reported as not run only if nothing was sent, or if the upstream
+// said that it did not run it: callers retry after such a report, and a booking
+// that ran twice would charge a member twice.
+//
+// A Protocol translates the headers of callers and upstreams, and the allocator
+// chooses the upstreams.
 package relayer
 
 import (
@@ -29,148 +31,156 @@
 )
 
 const (
-	// defaultTimeout is how long a request may last where neither its caller nor
-	// its route says.
+	// defaultTimeout limits a request if neither its caller nor its route does.
 	defaultTimeout = 30 * time.Second
-	// retryAfter is when a request refused for a passing reason may come back.
+	// retryAfter is when a caller may retry after a refusal for a temporary
+	// reason.
 	retryAfter = 300 * time.Millisecond
-	// maxBufferedBytes is the longest answer in bytes that is held whole before its
-	// caller gets a byte, so that a cut one is a truthful failure.
+	// maxBufferedBytes is the longest response body that is buffered completely
+	// before anything is sent to the caller, so that a truncated response can
+	// still be reported as an error.
 	maxBufferedBytes = 1 << 20
-	// maxDeclines is how many upstreams may refuse a request, besides those
-	// that it may run at.
+	// maxDeclines is the number of declines up to which a request is retried.
+	// They do not count towards the attempts that its route allows.
 	maxDeclines = 3
-	// startupWait is for how long after its start a process has requests wait for the
-	// configuration, and startShare which part of its time each may wait at most,
-	// as one over this.
+	// startupWait is how long after the start of the process requests wait for
+	// the first configuration. A request waits for at most its caller's timeout
+	// divided by startupWaitDivisor.
 	startupWait        = time.Second
 	startupWaitDivisor = 8
-	// maxBodyReadTime bounds the arrival of a body in a request without a limit.
+	// maxBodyReadTime limits the time for reading a request body if the timeout
+	// of the request is longer.
 	maxBodyReadTime = 10 * time.Second
-	// writeGrace is how long after a request's end its answer may still be on
-	// its way to the caller, who may read slowly.
+	// writeGrace is how long after the deadline of a request its response may
+	// still be written, as callers may read slowly.
 	writeGrace = time.Second
 )
 
-// A RequestInfo is what a caller says of its request.
+// A RequestInfo is what the headers of a caller's request say.
 type RequestInfo struct {
-	// ID names the request; its upstream's answer bears it.
+	// ID identifies the request. Upstreams repeat it in their responses.
 	ID string
-	// Timeout is how long the caller waits; 0 where it does not say.
+	// Timeout is how long the caller waits; 0 if unknown.
 	Timeout time.Duration
-	// APIKey proves the caller's team.
+	// APIKey authenticates the caller's team.
 	APIKey string
-	// PromptTokens and MaxOutputTokens are the tokens of the prompt and the most of the
-	// answer.
+	// PromptTokens is the length of the prompt, MaxOutputTokens the length limit
+	// of the answer.
 	PromptTokens, MaxOutputTokens int
-	// LastEventID is the last event that the caller has of this stream.
+	// LastEventID is the last event of the stream that the caller has received.
 	LastEventID string
 }
 
-// A Helper is an upstream that reads a part of a prompt, and the name of the
-// memory set aside there, if any is.
+// A Helper is an upstream that processes a part of a prompt. Reservation names
+// the memory reserved for it there; empty if there is none.
 type Helper struct {
 	Address, Reservation string
 }
 
-// A ForwardInfo is what an upstream is told beside the caller's own headers.
+// A ForwardInfo is what an upstream is told in addition to the caller's headers.
 type ForwardInfo struct {
 	TimeLeft    time.Duration
 	Upstream    string
 	Team        string
 	LastEventID string
 	Helpers     []Helper
-	// HighPriority says that the request goes before others at the engine.
+	// HighPriority requests are scheduled before others at the engine.
 	HighPriority bool
 }
 
-// A ResponseInfo is what the head of an upstream's answer says.
+// A ResponseInfo is what the status and headers of an upstream's response say.
 type ResponseInfo struct {
-	// ID is the request that is answered; empty where it does not say.
+	// ID identifies the request that the response belongs to; empty if unknown.
 	ID string
-	// Sealed says that the answer is the upstream's own and complete in
-	// itself; others are broken.
+	// Sealed is true if the response carries the seal that marks it as the
+	// upstream's own and complete in itself. A successful response without a seal
+	// is broken.
 	Sealed bool
-	// NotRun says that the upstream did not run the request and will not.
+	// NotRun is true if the upstream did not run the request and will not.
 	NotRun bool
-	// Misdirected says that another upstream has that address now.
+	// Misdirected is true if another upstream uses the address now.
 	Misdirected bool
-	// FaultyAddress is the address of the upstream at fault where several worked.
+	// FaultyAddress is the upstream that failed if several worked on the request.
 	FaultyAddress string
-	// ColdStart is how long the upstream stays in cold start.
+	// ColdStart is the remaining time of the upstream's cold start.
 	ColdStart time.Duration
-	// RateLimited says that the upstream takes no more than Rate requests a second from
-	// all VMs together, for as long as its answers say so.
+	// RateLimited is true if the upstream accepts at most RateLimit requests per
+	// second from all VMs together. It applies until a response does not say so.
 	RateLimited bool
 	RateLimit   float64
 }
 
-// A Protocol is how callers and upstreams say things.
+// A Protocol translates the headers and events of callers and upstreams.
 type Protocol interface {
 	ParseRequest(h http.Header) RequestInfo
-	// ForwardHeader makes the headers for an upstream from the caller's.
+	// ForwardHeader returns the headers for an upstream, given the caller's.
 	ForwardHeader(h http.Header, o ForwardInfo) http.Header
 	ParseResponse(status int, h http.Header) ResponseInfo
-	// EventID gives the id of an event of a stream; empty where it has none.
+	// EventID returns the ID of a stream's event; empty if it has none.
 	EventID(event []byte) string
 }
 
-// A Meter counts.
+// A Meter records metrics.
 type Meter interface {
 	Count(name string, n int64)
 	Time(name string, d time.Duration)
 }
 
-// A RetryBudget bounds repeats in sum over all VMs.
+// A RetryBudget limits the retries of all VMs together. RecordRequest counts the
+// first attempt of a request; TakeRetry reports whether a retry is allowed, and
+// counts it.
 type RetryBudget interface {
 	RecordRequest(service string)
 	TakeRetry(service string) bool
 }
 
-// A Quarantine keeps requests from upstreams that crash whoever runs them, at all
+// A Quarantine keeps requests that crash upstreams from being forwarded, on all
 // VMs.
 type Quarantine interface {
-	// Arrived says whether a request that has come is held, and after how long without
-	// its coming again it is not; Held is the same later on.
+	// Arrived records the arrival of a request. It reports whether the request is
+	// held, and after how long without a further arrival it no longer will be.
+	// Held reports the same later, without recording anything.
 	Arrived(f fingerprinter.Fingerprint) (after time.Duration, held bool)
 	Held(f fingerprinter.Fingerprint) (after time.Duration, held bool)
-	// CancelWhenHeld gives a context that ends when the request turns out to be held, until
-	// it is released.
+	// CancelWhenHeld returns a context that is canceled as soon as the request is
+	// held, until release is called.
 	CancelWhenHeld(ctx context.Context, f fingerprinter.Fingerprint) (guarded context.Context, release func())
-	// Lost notes an upstream that was lost while it ran a request, and says how many
-	// were. Served notes a request that was answered whole.
+	// Lost records that an upstream was lost while it ran the request, and returns
+	// the number of such losses. Served records a complete response.
 	Lost(f fingerprinter.Fingerprint, upstream string, born int64) (losses int)
 	Served(f fingerprinter.Fingerprint)
 }
 
-// Deps are what a Relayer works with.
+// Deps are the dependencies of a Relayer.
 type Deps struct {
 	Table func() *matcher.Table
-	// Configured is closed once there is a table.
+	// Configured is closed once Table returns a table.
 	Configured <-chan struct{}
 	Protocol   Protocol
-	// Allocator gives places at upstreams.
+	// Allocator grants placements at upstreams.
 	Allocator *allocator.Allocator
 	Tracker   *tracker.Tracker
 	Carrier   *carrier.Carrier
 	Reserver  *reserver.Reserver
-	// MaxIdleConns is how many idle connections this VM may keep to an upstream of a service
-	// that accepts so many from all VMs, as in carrier.Request.
+	// MaxIdleConns returns how many idle connections this VM may keep to an
+	// upstream that accepts so many connections from all VMs together. The result
+	// is used as carrier.Request.Idle.
 	MaxIdleConns func(connections int, upstream string) int
-	// Prober finds out which upstreams leave where one has declined to help.
+	// Prober checks the health of a service's upstreams after one of them has
+	// declined to help, to find those that are leaving.
 	Prober      *prober.Prober
 	RetryBudget RetryBudget
-	// Quarantine knows the requests that crash upstreams.
+	// Quarantine holds the requests that crash upstreams.
 	Quarantine Quarantine
 	BodyMemory reader.MemoryBudget
 	Meter      Meter
 	Now        func() time.Time
 	Log        zerolog.Logger
-	// ShuttingDown says that this VM is about to stop, and how long it has left.
+	// ShuttingDown reports whether this VM is about to stop, and the time left.
 	ShuttingDown func() (bool, time.Duration)
 }
 
-// A Relayer passes requests on.
+// A Relayer forwards requests to upstreams.
 type Relayer struct {
 	deps      Deps
 	startedAt time.Time
@@ -179,7 +189,7 @@
 // New returns a Relayer.
 func New(d Deps) *Relayer { return &Relayer{deps: d, startedAt: d.Now()} }
 
-// A job is one request on its way.
+// A job is the state of one request that is being forwarded.
 type job struct {
 	info          RequestInfo
 	route         *matcher.Route
@@ -188,45 +198,47 @@
 	configVersion int64
 	request       *http.Request
 	body          *reader.Body
-	// fingerprint names what is asked for, once its body is read.
+	// fingerprint identifies the content of the request. It is set once the body
+	// is read.
 	fingerprint fingerprinter.Fingerprint
 	arrivedAt   time.Time
-	// deadline is when the final answer must be out.
+	// deadline is when the complete response must have been sent.
 	deadline time.Time
-	// tried are the upstreams that failed it, runs those that may have run it,
-	// refused those that said that they did not.
+	// tried lists the upstreams that failed. possibleRuns counts the attempts that
+	// may have run the request. declines counts those that did not: nothing was
+	// sent, or the upstream said so.
 	tried        []string
 	possibleRuns int
 	declines     int
-	// lastEventID is the last event that the caller has, and begun says that it
-	// has the head of its answer.
+	// lastEventID is the last event sent to the caller. headerSent is true once
+	// the status and headers were sent.
 	lastEventID string
 	headerSent  bool
 	log         requestLog
 }
 
-// A requestLog is what the request's log line tells.
+// A requestLog collects fields of the request's log line.
 type requestLog struct {
 	queueTime time.Duration
-	// waits is why, for the last place.
+	// waits breaks down the wait for the last placement by reason.
 	waits       scheduler.WaitTimes
 	timeToFirst time.Duration
-	// maxPause is the longest time between two events.
+	// maxPause is the longest time between two events of a stream.
 	maxPause     time.Duration
 	upstream     string
 	helpers      []string
 	reservations int
 	estimate     float64
 	load         placer.Load
-	// leader is the VM that gave the place; empty where this one did.
+	// leader is the VM that granted the placement; empty if it is this one.
 	leader string
 	cause  string
-	// losses is how many upstreams were lost under the request, as far as this VM
-	// knew after the last of them.
+	// losses is the number of upstreams lost while running the request, as far as
+	// this VM knew after the last of them.
 	losses int
 }
 
-// ServeHTTP passes one request on.
+// ServeHTTP forwards one request.
 func (r *Relayer) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	arrived := r.deps.Now()
 	r.deps.Meter.Count("requests", 1)
@@ -241,7 +253,7 @@
 	defer j.body.Release()
 	control := http.NewResponseController(w)
 	if err := control.SetWriteDeadline(j.deadline.Add(writeGrace)); err != nil {
-		r.deps.Log.Warn().Str("id", j.info.ID).Err(err).Msg("no bound on writing to the caller")
+		r.deps.Log.Warn().Str("id", j.info.ID).Err(err).Msg("could not set the write deadline of the caller's connection")
 	}
 	ctx, cancel := context.WithDeadline(q.Context(), j.deadline)
 	defer cancel()
@@ -252,7 +264,8 @@
 	r.serveBuffered(ctx, w, j)
 }
 
-// accept finds out what a request is, or why it is not served.
+// accept resolves and reads a request. It returns a refusal if the request is not
+// to be forwarded.
 func (r *Relayer) accept(w http.ResponseWriter, j *job) *refuser.Refusal {
 	table := r.awaitTable(j)
 	if table == nil {
@@ -262,18 +275,18 @@
 	if refusal := r.resolve(table, j); refusal != nil {
 		return refusal
 	}
-	limit := j.route.Timeout
-	if j.info.Timeout > 0 && (limit == 0 || j.info.Timeout < limit) {
-		limit = j.info.Timeout
+	timeout := j.route.Timeout
+	if j.info.Timeout > 0 && (timeout == 0 || j.info.Timeout < timeout) {
+		timeout = j.info.Timeout
 	}
-	if limit == 0 {
-		limit = defaultTimeout
+	if timeout == 0 {
+		timeout = defaultTimeout
 	}
-	j.deadline = j.arrivedAt.Add(limit)
+	j.deadline = j.arrivedAt.Add(timeout)
 	if leaving, left := r.deps.ShuttingDown(); leaving && left < r.expectedDuration(j) {
 		return refuser.New(http.StatusServiceUnavailable, "leaving", "this VM is about to stop").WithRetryAfter(retryAfter)
 	}
-	bodies := reader.Reader{MaxBytes: table.Limits.Body, Budget: r.deps.BodyMemory, Timeout: min(limit, maxBodyReadTime)}
+	bodies := reader.Reader{MaxBytes: table.Limits.Body, Budget: r.deps.BodyMemory, Timeout: min(timeout, maxBodyReadTime)}
 	if bodies.MaxBytes <= 0 {
 		bodies.MaxBytes = maxBufferedBytes
 	}
@@ -295,9 +308,10 @@
 	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the request has crashed the upstreams that ran it").WithRetryAfter(after)
 }
 
-// awaitTable gives the configuration. A process that has just started has it within some
-// tens of milliseconds, and a request that is refused meanwhile is often lost: many
-// callers come back once at most, and all VMs may have started together.
+// awaitTable returns the configuration, or nil if it does not arrive in time. A
+// process that has just started receives it within some tens of milliseconds.
+// Requests wait for it, as a refusal often loses them: many callers retry at most
+// once, and all VMs may have started together.
 func (r *Relayer) awaitTable(j *job) *matcher.Table {
 	if table := r.deps.Table(); table != nil {
 		return table
@@ -339,26 +353,28 @@
 	return nil
 }
 
-// expectedDuration is how long a request is expected to take at most, where a VM that
-// leaves must know whether it still can end it.
+// expectedDuration estimates the longest duration of a request, for a VM that is
+// about to stop to decide whether it can still finish it.
 func (r *Relayer) expectedDuration(j *job) time.Duration {
 	if j.route.Kind != matcher.Stream || j.service.Engine == nil {
 		return min(j.route.Timeout, typicalCallDuration)
 	}
 	e := j.service.Engine
 	pass := placer.DecodePassTime(e, e.Slots, e.Memory/typicalMemoryDivisor)
-	answer := pass * float64(j.info.MaxOutputTokens) / float64(max(1, e.Stride))
-	return j.route.Objective + time.Duration(answer*float64(time.Millisecond))
+	decodeTime := pass * float64(j.info.MaxOutputTokens) / float64(max(1, e.Stride))
+	return j.route.Objective + time.Duration(decodeTime*float64(time.Millisecond))
 }
 
-// typicalMemoryDivisor is what part of an engine's memory the streams have that run there
-// together, as one over this.
+// typicalMemoryDivisor is the inverse of the share of an engine's memory that its
+// running streams use together.
 const typicalMemoryDivisor = 4
 
-// typicalCallDuration is how long a call of a plain service lasts at most, but for a few.
+// typicalCallDuration is longer than all but a few calls of services without
+// engines take.
 const typicalCallDuration = 1500 * time.Millisecond
 
-// priority is the request's rank: its team's, then its route's.
+// priority returns the priority of the request's team if it has one, else that of
+// the route.
 func (j *job) priority() int {
 	if j.team != nil && j.team.Ranked {
 		return j.team.Priority
--- a/entry/request/relayer/relayer_test.go
+++ b/entry/request/relayer/relayer_test.go
@@ -40,9 +40,9 @@
 	assert.Equal(t, a.header.Get("Upstream"), "u")
 }
 
-// A booking is sent and its answer is lost. It may have been made: it must not
-// be sent again, by any way, and "not run" must not be said.
-func TestWhatMayHaveRunOnceIsNotSentAgain(t *testing.T) {
+// The response to a booking is lost, so that it may have run. It must not be sent
+// again in any way, nor be reported as not run.
+func TestPossiblyRunRequestIsNotSentAgain(t *testing.T) {
 	for _, path := range []string{"/unsafe/x", "/stream/x"} {
 		for _, method := range []string{http.MethodGet, http.MethodPost} {
 			b := newHarness(t, routes())
@@ -58,8 +58,9 @@
 	}
 }
 
-// The same holds where the first upstream declined and the second lost it.
-func TestDeclinedThenLostIsNotCalledNotRun(t *testing.T) {
+// The same applies if the first upstream declines and the second one loses the
+// response.
+func TestDeclineThenLossIsNotReportedAsNotRun(t *testing.T) {
 	b := newHarness(t, routes())
 	declined := false
 	either := func(w http.ResponseWriter, q *http.Request) {
@@ -77,9 +78,9 @@
 	assert.Equal(t, len(b.requestsReceived()), 2)
 }
 
-// A lookup may have run at an upstream that is gone since, and no other has a
-// place for it in time. That it was not placed again does not make it "not run".
-func TestNoPlaceAfterASendingIsNotCalledNotRun(t *testing.T) {
+// A lookup may have run at an upstream that is gone since, and there is no other one
+// for a retry. The failed retry must not be reported as not run.
+func TestFailedRetryIsNotReportedAsNotRun(t *testing.T) {
 	b := newHarness(t, routes())
 	b.upstream("u1", "plain", func(w http.ResponseWriter, q *http.Request) {
 		b.tracker.Remove(time.Now(), "u1", false)
@@ -92,9 +93,9 @@
 	assert.Equal(t, len(b.requestsReceived()), 1)
 }
 
-// An upstream that says that it did not run the request leaves it free to go
-// elsewhere, whatever its kind; where all decline, "not run" is true.
-func TestDeclinedGoesElsewhere(t *testing.T) {
+// A request that an upstream declined did not run there, so that it goes to another
+// one whatever its kind. If all decline, it is reported as not run.
+func TestDeclinedRequestGoesToAnotherUpstream(t *testing.T) {
 	b := newHarness(t, routes())
 	b.upstream("u1", "plain", decline)
 	o := b.do(b.request(http.MethodPost, "/unsafe/x", "b"))
@@ -105,8 +106,9 @@
 	assert.Equal(t, o.status, http.StatusOK)
 }
 
-// A 503 without the word that it did not run would be taken for it.
-func TestRefusalsThatPromiseNothingAreNotPassedOn(t *testing.T) {
+// Callers take a 503, 429 or 408 for "not run". It must not be forwarded if the
+// upstream did not say so.
+func TestStatusesImplyingNotRunAreNotForwarded(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout} {
 		b := newHarness(t, routes())
 		b.upstream("u1", "plain", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
@@ -115,8 +117,8 @@
 	}
 }
 
-// An upstream's own failure is its answer: it goes on as it is, with its seal.
-func TestFailuresOfUpstreamsPassUnchanged(t *testing.T) {
+// An error response of an upstream is forwarded unchanged, with its seal.
+func TestErrorResponsesAreForwardedUnchanged(t *testing.T) {
 	b := newHarness(t, routes())
 	b.upstream("u1", "plain", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Sealed", "s")
@@ -129,8 +131,8 @@
 	assert.Equal(t, len(b.requestsReceived()), 1)
 }
 
-// A lookup that failed at one upstream succeeds at another, no more often than
-// its route allows and never beyond the budget.
+// A lookup that failed is retried at other upstreams, but no more often than its route
+// and the retry budget allow.
 func TestSafeRequestsAreRepeatedWithinBounds(t *testing.T) {
 	b := newHarness(t, routes())
 	b.upstream("u1", "plain", dropConnection)
@@ -147,9 +149,9 @@
 	assert.Equal(t, len(b.requestsReceived()), 3)
 }
 
-// An answer to an earlier request comes late on a kept connection, where the
-// next one's is due. Nobody may get another member's answer.
-func TestForeignAnswersReachNobody(t *testing.T) {
+// The response to an earlier request may arrive late on a reused connection, in place
+// of the next one's. No caller may get another caller's response.
+func TestResponsesToOtherRequestsAreNotForwarded(t *testing.T) {
 	b := newHarness(t, routes())
 	b.upstream("u1", "plain", func(w http.ResponseWriter, q *http.Request) {
 		w.Header().Set("Id", "of-somebody-else")
@@ -163,7 +165,7 @@
 	assert.Equal(t, len(b.requestsReceived()), 3, "a lookup may be tried twice")
 }
 
-// A success without its seal, or of which only a part came, is none.
+// A successful response that is unsealed, truncated or content-encoded is a failure.
 func TestBrokenSuccessesAreFailures(t *testing.T) {
 	scripts := map[string]http.HandlerFunc{
 		"unsealed": func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "done") },
@@ -192,8 +194,8 @@
 	}
 }
 
-// What the configuration does not allow is refused by name, and what it cannot
-// answer yet is not refused for good: a VM that has just started knows nothing.
+// Each request that the configuration does not allow is refused with its own status.
+// Without a configuration, as on a VM that has just started, the refusal says to retry.
 func TestRefusalsByTheConfiguration(t *testing.T) {
 	c := routes()
 	c.Teams = []matcher.Team{{Name: "gold", Keys: []string{"k"}}}
@@ -219,9 +221,9 @@
 	assert.Assert(t, o.header.Get("Retry-After") != "")
 }
 
-// An upstream never answers. The caller is told at its limit, or at its route's
-// if that is shorter, and not later.
-func TestLimitsEndRequests(t *testing.T) {
+// If an upstream never responds, the caller gets a timeout at its own limit or at
+// its route's, whichever is shorter.
+func TestTimeoutsEndRequests(t *testing.T) {
 	c := routes()
 	c.Routes[1].Timeout = 300 * time.Millisecond
 	b := newHarness(t, c)
@@ -242,8 +244,8 @@
 	<-ended
 }
 
-// The caller leaves. Its upstream is told by the connection's end, at once.
-func TestUpstreamLearnsThatTheCallerLeft(t *testing.T) {
+// When the caller disconnects, the connection to the upstream is closed at once.
+func TestCallerDisconnectClosesUpstreamConnection(t *testing.T) {
 	b := newHarness(t, routes())
 	begun, ended := make(chan struct{}), make(chan struct{})
 	b.upstream("u1", "plain", func(_ http.ResponseWriter, q *http.Request) {
@@ -261,22 +263,22 @@
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the upstream works on")
+		t.Fatal("the upstream still runs the request")
 	}
 }
 
-// Another process has the address of an upstream that is gone: it says so, and
-// gets nothing more.
-func TestMisplacedUpstreamIsForgotten(t *testing.T) {
+// An upstream that is gone is forgotten once another process responds at its address
+// that requests for it are misdirected.
+func TestMisdirectedUpstreamIsForgotten(t *testing.T) {
 	b := newHarness(t, routes())
 	b.upstream("u1", "plain", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) })
 	assert.Equal(t, b.do(b.request(http.MethodPost, "/unsafe/x", "b")).status, http.StatusServiceUnavailable)
 	assert.Equal(t, b.tracker.Len(), 0)
 }
 
-// A VM that is about to stop takes what it can still end, and says to come to
-// another with the rest; its callers learn that the connection ends.
-func TestLeavingVMTakesWhatItCanEnd(t *testing.T) {
+// A VM that is about to stop accepts only requests that it can still finish, and
+// refuses the others so that callers retry elsewhere.
+func TestStoppingVMAcceptsOnlyWhatItCanFinish(t *testing.T) {
 	b := newHarness(t, routes())
 	b.upstream("u1", "plain", answerSealed)
 	b.shutdownIn.Store(int64(3 * time.Second))
@@ -297,10 +299,10 @@
 	assert.Equal(t, o.body, eventText(3))
 }
 
-// An engine dies in the middle of an event. Where the route allows, the stream
-// goes on at another engine after the last whole event, in the same answer; the
-// caller sees every event once.
-func TestCutStreamGoesOnElsewhere(t *testing.T) {
+// An engine crashes in the middle of an event. If the route allows it, the stream is
+// resumed at another engine after the last complete event, within the same response.
+// The caller sees every event once.
+func TestInterruptedStreamIsResumedElsewhere(t *testing.T) {
 	b := newHarness(t, routes())
 	first := true
 	script := func(w http.ResponseWriter, q *http.Request) {
@@ -322,9 +324,9 @@
 	assert.Equal(t, seen[1].header.Get("Last"), "4")
 }
 
-// Where it may not be resumed, or no further attempt is allowed, the caller must
-// see that the stream is not whole.
-func TestCutStreamNeverLooksWhole(t *testing.T) {
+// If a stream must not be resumed, or no attempt is left, the caller must see that it
+// is incomplete.
+func TestInterruptedStreamNeverLooksComplete(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/resume/x"} {
 		b := newHarness(t, routes())
 		for _, id := range []string{"u1", "u2", "u3"} {
@@ -332,13 +334,14 @@
 		}
 		o := b.do(b.request(http.MethodPost, path, "p"))
 		assert.Assert(t, o.err != nil, path)
-		assert.Equal(t, o.body, eventText(2), "only whole events")
+		assert.Equal(t, o.body, eventText(2), "only complete events")
 	}
 }
 
-// An engine loses its power: no byte comes and no end. Callers bear a short
-// pause, so that the stream goes on elsewhere long before its limit.
-func TestSilentStreamGoesOnElsewhere(t *testing.T) {
+// An engine that loses power sends nothing more and does not close its connections.
+// The stream must be resumed elsewhere long before the request's timeout, as callers
+// tolerate only a short pause.
+func TestSilentStreamIsResumedElsewhere(t *testing.T) {
 	b := newHarness(t, routes())
 	first := true
 	script := func(w http.ResponseWriter, q *http.Request) {
@@ -359,8 +362,8 @@
 	assert.Assert(t, time.Since(start) < 4*time.Second)
 }
 
-// An engine pauses for longer than usual, and goes on. Where the stream cannot go
-// on elsewhere, its silence alone must not end it.
+// An engine pauses for longer than usual and continues. If the stream cannot be
+// resumed elsewhere, the silence alone must not end it.
 func TestSilenceAloneEndsNoStream(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/resume/x"} {
 		b := newHarness(t, routes())
@@ -378,10 +381,10 @@
 	}
 }
 
-// An engine pauses for longer than usual while the VM is about to stop, and goes on.
-// There is no time left for another engine, so that a stream that is ended for its
-// silence is cut for the caller.
-func TestSilenceEndsNoStreamOfAVMThatStops(t *testing.T) {
+// An engine pauses for longer than usual while the VM is about to stop, and continues.
+// No time is left to resume the stream at another engine, so that ending it for its
+// silence would truncate it.
+func TestSilenceEndsNoStreamOnAStoppingVM(t *testing.T) {
 	b := newHarness(t, routes())
 	for _, id := range []string{"u1", "u2"} {
 		b.upstream(id, "model", func(w http.ResponseWriter, q *http.Request) {
@@ -398,9 +401,9 @@
 	assert.Equal(t, len(b.requestsReceived()), 1)
 }
 
-// A prompt above one engine's memory has some set aside at others, under names
-// that go with the request; with the answer's end all of it is given back.
-func TestMemoryIsSetAsideAndGivenBack(t *testing.T) {
+// For a prompt that exceeds one engine's memory, memory is reserved at others. The
+// request names the reservations, and all are released when the response ends.
+func TestMemoryIsReservedAndReleased(t *testing.T) {
 	b := newHarness(t, routes())
 	held := 0
 	for _, id := range []string{"u1", "u2", "u3", "u4"} {
@@ -430,9 +433,9 @@
 	})
 }
 
-// One of the engines has no memory after all: what others set aside is given
-// back, the request waits its time, and nothing was sent.
-func TestMemoryIsSetAsideAtAllOrNone(t *testing.T) {
+// If memory cannot be reserved at every engine that a prompt needs, nothing stays
+// reserved, and the request waits until its deadline without being sent.
+func TestMemoryIsReservedAtAllEnginesOrNone(t *testing.T) {
 	b := newHarness(t, routes())
 	for _, id := range []string{"u1", "u2", "u3", "u4"} {
 		server := b.upstream(id, "model", events(1, false))
@@ -452,8 +455,8 @@
 	})
 }
 
-// No upstream lives: the caller is told in time to go elsewhere, as not run.
-func TestNoUpstreamIsNotRun(t *testing.T) {
+// Without any upstream the request is refused as not run, with a time to retry.
+func TestNoUpstreamIsReportedAsNotRun(t *testing.T) {
 	b := newHarness(t, routes())
 	q := b.request(http.MethodPost, "/unsafe/x", "b")
 	q.Header.Set("Limit", "200ms")
@@ -462,8 +465,8 @@
 	assert.Assert(t, o.header.Get("Retry-After") != "")
 }
 
-// A process that has just started has no configuration for some tens of
-// milliseconds. Refused meanwhile, most callers would not come back.
+// A process that has just started has no configuration for some tens of milliseconds.
+// Most callers would not retry if they were refused in this time.
 func TestRequestWaitsForTheFirstConfiguration(t *testing.T) {
 	b := newUnconfiguredHarness(t, routes())
 	b.upstream("u1", "plain", answerSealed)
@@ -473,8 +476,8 @@
 	assert.Equal(t, got.status, http.StatusOK)
 }
 
-// Where no configuration comes, a caller learns soon that its request has not run
-// and when to come back.
+// If no configuration arrives, callers learn soon that their requests did not run and
+// when to retry.
 func TestRequestWithoutAConfigurationIsRefusedInTime(t *testing.T) {
 	b := newUnconfiguredHarness(t, routes())
 	q := b.request(http.MethodGet, "/safe/a", "")
@@ -484,13 +487,13 @@
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
-	assert.Assert(t, time.Since(began) < 300*time.Millisecond, "it took %v", time.Since(began))
+	assert.Assert(t, time.Since(began) < 300*time.Millisecond, "the refusal took %v", time.Since(began))
 }
 
-// An order takes half of the engines away, and the list does not say so. They answer
-// what they have, decline to help, and fail their health checks: a long prompt must
-// not lose one try to each of them.
-func TestOneDeclineTellsOfAllThatLeave(t *testing.T) {
+// Half of the engines are taken away, and the platform's list does not show it. They
+// finish their requests, decline to help and fail their health checks. A long prompt
+// must not lose one attempt to each of them.
+func TestOneDeclineRevealsAllLeavingEngines(t *testing.T) {
 	b := newHarness(t, routes())
 	leaving := map[string]bool{}
 	declined := atomic.Int32{}
@@ -527,9 +530,9 @@
 	}
 }
 
-// All upstreams leave between the choice of a place and the sending, while memory is
-// set aside. What was chosen before must get nothing any more.
-func TestPlaceThatLeftMeanwhileGetsNothing(t *testing.T) {
+// All upstreams start draining while memory is being reserved, between the grant of a
+// placement and the sending of the request. It must not be sent to them.
+func TestDrainingUpstreamGetsNoPlacedRequest(t *testing.T) {
 	b := newHarness(t, routes())
 	var listed []tracker.Upstream
 	for _, id := range []string{"u1", "u2", "u3", "u4"} {
--- a/entry/request/relayer/stream.go
+++ b/entry/request/relayer/stream.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// maxEventBytes is the longest event of a stream in bytes.
+// maxEventBytes limits the size of one event of a stream.
 const maxEventBytes = 1 << 20
 
 var (
-	errTruncatedEvent = errors.New("the stream ended inside an event")
-	errEventTooLong   = errors.New("an event is too long")
+	errTruncatedEvent = errors.New("stream ended in the middle of an event")
+	errEventTooLong   = errors.New("event exceeds the size limit")
 )
 
-// A callerWriteError is a failure to write to the caller, for which another upstream
-// is no help.
+// A callerWriteError is a failure to write to the caller. Another upstream would not
+// help.
 type callerWriteError struct{ err error }
 
-func (e *callerWriteError) Error() string { return "the caller does not read: " + e.err.Error() }
+func (e *callerWriteError) Error() string { return "write to the caller: " + e.err.Error() }
 
 func (e *callerWriteError) Unwrap() error { return e.err }
 
-// serveStream passes a request on whose answer is a serveStream of events. Only whole
-// events go on. Where the route allows, a serveStream that breaks goes on at another
+// serveStream forwards a request whose response is a stream of events. Only complete
+// events are forwarded. If the route allows it, a broken stream is resumed at another
 // upstream after the last event that the caller has.
 func (r *Relayer) serveStream(ctx context.Context, w http.ResponseWriter, j *job) {
 	for {
@@ -60,7 +60,7 @@
 		}
 		if ctx.Err() == nil {
 			r.recordLoss(j, a, err)
-			r.recordFailure(j, a.grant.Upstream.ID, "stream cut: "+err.Error())
+			r.recordFailure(j, a.grant.Upstream.ID, "stream interrupted: "+err.Error())
 			r.deps.Tracker.Failed(r.deps.Now(), a.grant.Upstream.ID, true)
 		}
 		if j.route.Repeatable() && r.allowRetry(ctx, j) {
@@ -74,13 +74,15 @@
 	}
 }
 
-// serveErrorResponse passes on an upstream's failure.
+// serveErrorResponse forwards the response of an upstream that sent no stream. A
+// caller that already has a part of the stream cannot get it; its connection is
+// closed instead.
 func (r *Relayer) serveErrorResponse(ctx context.Context, w http.ResponseWriter, j *job, a *attempt) {
 	res, err := readResponse(a)
 	if err != nil || j.headerSent {
 		a.close()
 		if j.headerSent {
-			r.abort(ctx, j, errors.New("the upstream that was to go on failed"))
+			r.abort(ctx, j, errors.New("upstream failed to resume the stream"))
 		}
 		r.refuse(w, j, j.failureRefusal(ctx))
 		return
@@ -88,7 +90,7 @@
 	r.deliver(ctx, w, j, res)
 }
 
-// relayEvents passes on one upstream's events until the stream's end.
+// relayEvents forwards the events of one upstream until its stream ends.
 func (r *Relayer) relayEvents(w http.ResponseWriter, j *job, a *attempt) error {
 	x := a.exchange
 	if !a.response.Sealed || x.Header.Get("Content-Encoding") != "" {
@@ -130,7 +132,8 @@
 	}
 }
 
-// recordEvent notes an event of an upstream.
+// recordEvent tells the tracker that an upstream has sent an event. The first one
+// also marks the placement as started.
 func (r *Relayer) recordEvent(now time.Time, a *attempt) {
 	if a.firstEventSeen {
 		r.deps.Tracker.Heard(now, a.grant.Upstream.ID)
@@ -141,8 +144,8 @@
 	a.grant.MarkStarted()
 }
 
-// sendHeader sends the head of the answer. A later upstream that goes on with the
-// stream does not change it.
+// sendHeader sends the status and headers of the stream. An upstream that resumes
+// the stream later does not change them.
 func (r *Relayer) sendHeader(w http.ResponseWriter, j *job, a *attempt) {
 	r.copyHeader(w, j, a.exchange.Header)
 	w.Header().Del("Content-Length")
@@ -150,7 +153,7 @@
 	r.deps.Meter.Time("first", j.log.timeToFirst)
 }
 
-// readEvent reads one event with the blank line that ends it.
+// readEvent reads one event, including the blank line that ends it.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
--- a/entry/request/relayer/watch.go
+++ b/entry/request/relayer/watch.go
@@ -6,18 +6,17 @@
 	"time"
 )
 
-// A watchdog gives up an upstream that is silent for too long, but only where the
-// request may be sent to another: an upstream's silence alone is no reason to
-// end an answer. It answers upstreams that lose their power, of which no end of
-// the connection tells.
+// A watchdog ends an attempt whose upstream is silent for too long, but only if the
+// request may be sent to another one: silence alone is no reason to end a response.
+// It detects upstreams that have lost power, which do not close their connections.
 type watchdog struct {
 	timer *time.Timer
-	// retryGranted says that the watch ended the try, and that its repeat is taken
-	// from the budget.
+	// retryGranted is true once the watchdog has ended the attempt. Its retry was
+	// taken from the budget.
 	retryGranted atomic.Bool
 }
 
-// startWatchdog begins a startWatchdog over one try; end ends the try.
+// startWatchdog starts the watchdog of one attempt, which it ends by calling cancel.
 func (r *Relayer) startWatchdog(j *job, firstTimeout time.Duration, cancel context.CancelFunc) *watchdog {
 	w := &watchdog{}
 	if !j.route.Repeatable() || j.possibleRuns+1 >= j.route.Attempts {
@@ -25,8 +24,8 @@
 	}
 	service := j.service.Name
 	w.timer = time.AfterFunc(firstTimeout, func() {
-		// A VM that is about to stop finds no other place that ends in time, and an
-		// answer that was only slow would be cut for nothing.
+		// A VM that is about to stop has no time left for another attempt. Ending
+		// this one could only truncate a response that is merely slow.
 		if leaving, left := r.deps.ShuttingDown(); leaving && left < r.expectedDuration(j) {
 			return
 		}
@@ -39,7 +38,7 @@
 	return w
 }
 
-// reset begins the wait for the next event.
+// reset restarts the timer, to wait for the next event.
 func (w *watchdog) reset(wait time.Duration) {
 	if w.timer != nil && w.timer.Stop() {
 		w.timer.Reset(wait)
--- a/entry/request/relayer/whole.go
+++ b/entry/request/relayer/whole.go
@@ -12,16 +12,16 @@
 	"github.com/heathervane/heathervane/entry/request/trimmer"
 )
 
-// An response is an upstream's whole response, or so much of it as is held before
-// the caller gets a byte.
+// A response is an upstream's response with the part of its body that is buffered
+// before anything is sent to the caller.
 type response struct {
 	attempt *attempt
 	data    []byte
-	// partial says that the rest is still to come.
+	// partial is true if data is not the complete body.
 	partial bool
 }
 
-// serveBuffered passes a request on whose answer is one piece.
+// serveBuffered forwards a request whose response is not a stream.
 func (r *Relayer) serveBuffered(ctx context.Context, w http.ResponseWriter, j *job) {
 	for {
 		a, refusal := r.sendUntilAnswered(ctx, j)
@@ -29,7 +29,7 @@
 			r.refuse(w, j, refusal)
 			return
 		}
-		// It has answered: how long its answer takes to come is no silence.
+		// The upstream has responded. A slow body does not count as silence.
 		a.watchdog.stop()
 		res, err := readResponse(a)
 		if err == nil {
@@ -39,7 +39,7 @@
 		a.close()
 		if ctx.Err() == nil {
 			r.recordLoss(j, a, err)
-			r.recordFailure(j, a.grant.Upstream.ID, "answer cut: "+err.Error())
+			r.recordFailure(j, a.grant.Upstream.ID, "response interrupted: "+err.Error())
 			r.deps.Tracker.Failed(r.deps.Now(), a.grant.Upstream.ID, false)
 		}
 		if !j.route.Repeatable() || !r.allowRetry(ctx, j) {
@@ -49,10 +49,10 @@
 	}
 }
 
-// errUnsealed is an answer that is not an upstream's own.
-var errUnsealed = errors.New("the answer is not the upstream's own")
+// errUnsealed is a successful response that has no seal or a content encoding.
+var errUnsealed = errors.New("response is unsealed or content-encoded")
 
-// readResponse reads an answer up to a bound.
+// readResponse reads the body up to maxBufferedBytes and one byte more.
 func readResponse(a *attempt) (response, error) {
 	x := a.exchange
 	if x.Status < http.StatusMultipleChoices && (!a.response.Sealed || x.Header.Get("Content-Encoding") != "") {
@@ -65,12 +65,12 @@
 	return response{attempt: a, data: data, partial: len(data) > maxBufferedBytes}, nil
 }
 
-// deliver gives the caller an answer.
+// deliver sends a response to the caller.
 func (r *Relayer) deliver(ctx context.Context, w http.ResponseWriter, j *job, res response) {
 	defer res.attempt.close()
 	x := res.attempt.exchange
 	if impliesNotRun(x.Status) {
-		// Callers take these for "not run", and this upstream did not say so.
+		// Callers take this status for "not run", which the upstream did not say.
 		r.refuse(w, j, lostRefusal())
 		return
 	}
@@ -94,7 +94,8 @@
 	r.logRequest(j, x.Status)
 }
 
-// impliesNotRun says that callers read a status as "not run".
+// impliesNotRun reports whether callers conclude from a status that the request did
+// not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -103,19 +104,21 @@
 	return false
 }
 
-// mayHaveBody says that an answer has a body, by RFC 9110, section 6.4.1.
+// mayHaveBody reports whether a response may have a body, as in RFC 9110, section
+// 6.4.1.
 func mayHaveBody(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// copyHeader sets the headers of an answer.
+// copyHeader copies the end-to-end headers of an upstream's response and marks the
+// headers as sent.
 func (r *Relayer) copyHeader(w http.ResponseWriter, j *job, from http.Header) {
 	h := w.Header()
 	for name, values := range trimmer.EndToEndHeaders(from) {
 		h[name] = values
 	}
 	if h.Get("Date") == "" {
-		// What the upstream did not say is not added.
+		// A nil value keeps net/http from adding what the upstream did not send.
 		h["Date"] = nil
 	}
 	if h.Get("Content-Type") == "" {
@@ -125,24 +128,23 @@
 	j.log.timeToFirst = r.deps.Now().Sub(j.arrivedAt)
 }
 
-// abort ends a connection whose answer cannot be whole. An end in good order
-// would make half an answer look like a whole one.
+// abort closes the caller's connection if the response cannot be completed. If it
+// were ended properly, a truncated response would look complete.
 func (r *Relayer) abort(ctx context.Context, j *job, err error) {
 	if ctx.Err() != nil {
 		err = context.Cause(ctx)
 	}
-	j.log.cause = "answer broken off: " + err.Error()
+	j.log.cause = "response aborted: " + err.Error()
 	r.deps.Meter.Count("aborted", 1)
 	r.logRequest(j, 0)
 	panic(http.ErrAbortHandler)
 }
 
-// refuse gives a request up: at once, with the time to come back where that
-// helps.
+// refuse sends a refusal to the caller, with the delay after which a retry may
+// succeed, if any. If the caller has disconnected, it aborts instead.
 func (r *Relayer) refuse(w http.ResponseWriter, j *job, f *refuser.Refusal) {
 	if j.request.Context().Err() != nil {
-		// Its caller has gone.
-		j.log.cause = "caller gone"
+		j.log.cause = "caller disconnected"
 		r.logRequest(j, 0)
 		panic(http.ErrAbortHandler)
 	}
@@ -163,11 +165,11 @@
 	r.logRequest(j, f.Status)
 }
 
-// minLoggedWait is the wait from which the log says its reason: shorter ones are
-// those of one look for a place.
+// minLoggedWait is the shortest wait whose reason is logged. A single attempt to find
+// a placement takes less.
 const minLoggedWait = 5 * time.Millisecond
 
-// logRequest writes the request's log line.
+// logRequest writes the log line of a request.
 func (r *Relayer) logRequest(j *job, status int) {
 	took := r.deps.Now().Sub(j.arrivedAt)
 	l := &j.log
