--- a/entry/request/relayer/relayer.go
+++ b/entry/request/relayer/relayer.go
@@ -38,7 +38,8 @@
 	retryAfter = 300 * time.Millisecond
 	// maxBufferedBytes is the longest response body that is buffered completely
 	// before anything is sent to the caller, so that a truncated response can
-	// still be reported as an error.
+	// still be reported as an error. It also limits request bodies if the
+	// configuration does not.
 	maxBufferedBytes = 1 << 20
 	// maxDeclines is the number of declines up to which a request is retried.
 	// They do not count towards the attempts that its route allows.
