--- a/entry/process/allocator/leader.go
+++ b/entry/process/allocator/leader.go
@@ -150,7 +150,7 @@
 }
 
 // adopt counts a place of this VM's own that another leader gave.
-func (a *Allocator) adopt(p *Place) {
+func (a *Allocator) adopt(p *Placement) {
 	if p.grant == nil {
 		p.grant = a.schedulerOf(p.group).scheduler.Adopt(p.work, p.began)
 	}
@@ -167,7 +167,7 @@
 	me, n := a.self(), 0
 	members := a.deps.Members()
 	for i := range members {
-		if !members[i].Leaving && members[i].Before(&me, g) {
+		if !members[i].Leaving && members[i].Outranks(&me, g) {
 			n++
 		}
 	}
@@ -219,7 +219,7 @@
 		return
 	}
 	for i := range m.Events {
-		a.deps.Tracker.Learn(now, m.Events[i].event())
+		a.deps.Tracker.MergeEvent(now, m.Events[i].event())
 	}
 	a.learnLimits(now, m.Limits)
 	for _, id := range m.Left {
@@ -230,7 +230,7 @@
 	for _, id := range m.Began {
 		if p, ok := h.holds[id]; ok {
 			p.grant.MarkStarted()
-			a.deps.Tracker.Learn(now, tracker.Event{Finding: tracker.FoundAnswering, Upstreams: []string{p.grant.Workload.Main}})
+			a.deps.Tracker.MergeEvent(now, tracker.Event{Finding: tracker.FoundAnswer, Upstreams: []string{p.grant.Workload.Main}})
 		}
 	}
 	for _, id := range m.Ended {
@@ -380,7 +380,7 @@
 	w := wireGrant{
 		ID: id, Main: wireUpstream{ID: g.Upstream.ID, Address: g.Upstream.Address},
 		Read: float32(g.Workload.Prefill), Estimate: float32(g.Estimate), Long: g.Workload.Long,
-		Streams: g.Load.Streams, Context: g.Load.Context, Unread: float32(g.Load.Unread), Waits: wireWaits(g.WaitTimes),
+		Streams: g.Load.Streams, Context: g.Load.ContextTokens, Unread: float32(g.Load.PendingPrefill), Waits: wireWaits(g.WaitTimes),
 	}
 	for _, p := range g.Helpers {
 		w.Helpers = append(w.Helpers, wireUpstream{ID: p.ID, Address: p.Address, Tokens: p.ReservedTokens})
--- a/entry/process/allocator/limit.go
+++ b/entry/process/allocator/limit.go
@@ -22,7 +22,7 @@
 // group.
 func (a *Allocator) limitPart(l *led, named float64) float64 {
 	heard := 1 + len(a.deps.Members())
-	all := max(heard, a.deps.Fleet())
+	all := max(heard, a.deps.FleetSize())
 	rate := budgeter.EffectiveRate(named) * min(1, sideShare*float64(heard)/float64(all))
 	switch {
 	case l.alone:
@@ -48,7 +48,7 @@
 func (a *Allocator) learnLimits(now time.Time, all []wireLimit) {
 	for i := range all {
 		w := &all[i]
-		if old, changed := a.deps.Tracker.Learned(w.Upstream, w.limit(now)); changed {
+		if old, changed := a.deps.Tracker.MergeLimit(w.Upstream, w.limit(now)); changed {
 			a.deps.Log.Info().Str("upstream", w.Upstream).Bool("limited", w.Limited).Float64("rate", w.Rate).
 				Float64("before", old.Rate).Int64("age", w.Age).Msg("limit of an upstream")
 		}
--- a/entry/process/allocator/message.go
+++ b/entry/process/allocator/message.go
@@ -8,9 +8,9 @@
 	"github.com/heathervane/heathervane/entry/request/placer"
 )
 
-// Mark is the first byte of a datagram of this package, by which it is told from
+// DatagramType is the first byte of a datagram of this package, by which it is told from
 // others on the same socket. No CBOR map begins with it.
-const Mark = 'a'
+const DatagramType = 'a'
 
 // A message is one datagram. What a VM says that asks stands above what a leader
 // says; one datagram may hold both.
@@ -108,9 +108,9 @@
 func (o *ask) wire(now time.Time) wireAsk {
 	c := &o.call
 	return wireAsk{
-		ID: o.id, Group: o.group.wire(), Hops: o.hops, Prompt: c.Requirements.Prompt, Output: c.Requirements.Output, Pause: float32(c.Requirements.Pause),
+		ID: o.id, Group: o.group.wire(), Hops: o.hops, Prompt: c.Requirements.Prompt, Output: c.Requirements.Output, Pause: float32(c.Requirements.MaxPause),
 		Arrived: until(now, c.Requirements.Arrived), Objective: until(now, c.Requirements.Objective), Deadline: until(now, c.Requirements.Deadline),
-		Leaves: until(now, c.Requirements.Leaves), Stop: until(now, c.StopsAt),
+		Leaves: until(now, c.Requirements.CallerTimeout), Stop: until(now, c.StopsAt),
 		Priority: c.Priority, Team: c.Team, Zone: c.Zone, Tried: c.Requirements.Tried, Avoid: c.Unreachable,
 	}
 }
@@ -118,9 +118,9 @@
 func (w *wireAsk) call(now time.Time) scheduler.Request {
 	return scheduler.Request{
 		Priority: w.Priority, Team: w.Team, Zone: w.Zone, Unreachable: w.Avoid, StopsAt: moment(now, w.Stop),
-		Requirements: placer.Ask{
-			Prompt: w.Prompt, Output: w.Output, Pause: float64(w.Pause), Arrived: moment(now, w.Arrived), Objective: moment(now, w.Objective),
-			Deadline: moment(now, w.Deadline), Leaves: moment(now, w.Leaves), Tried: w.Tried,
+		Requirements: placer.Request{
+			Prompt: w.Prompt, Output: w.Output, MaxPause: float64(w.Pause), Arrived: moment(now, w.Arrived), Objective: moment(now, w.Objective),
+			Deadline: moment(now, w.Deadline), CallerTimeout: moment(now, w.Leaves), Tried: w.Tried,
 		},
 	}
 }
@@ -172,7 +172,7 @@
 	Tokens         []int
 }
 
-func (p *Place) wire() wirePlace {
+func (p *Placement) wire() wirePlace {
 	w := &p.work
 	return wirePlace{
 		ID: p.id, Group: p.group.wire(), Prompt: w.Prompt, Output: w.Output, Pause: float32(w.MaxPause), Read: float32(w.Prefill),
--- a/entry/process/allocator/overflow.go
+++ b/entry/process/allocator/overflow.go
@@ -39,7 +39,7 @@
 	}
 	a.summedAt = now
 	for service := range a.split {
-		zones := a.deps.Tracker.Sizes(service)
+		zones := a.deps.Tracker.CountUsableByZone(service)
 		for zone := range zones {
 			if g := (Group{service, zone}); a.leads(now, g) {
 				a.share(now, a.schedulerOf(g), zones)
@@ -68,12 +68,12 @@
 	sum := summary{at: now}
 	work := l.scheduler.Loads()
 	for _, u := range a.deps.Tracker.Usable(now, l.group.Service) {
-		if u.Zone != l.group.Zone || now.Before(u.SilentUntil) {
+		if u.Zone != l.group.Zone || now.Before(u.UnreachableUntil) {
 			continue
 		}
 		sum.engines++
 		sum.free += max(0, u.Slots-work[u.ID].Streams)
-		sum.reading += work[u.ID].Unread
+		sum.reading += work[u.ID].PendingPrefill
 	}
 	sum.reading += l.scheduler.QueuedPrefill()
 	if sum.engines > 0 {
@@ -92,7 +92,7 @@
 	}
 	here := a.summary(now, l)
 	e := c.Service.Engine
-	long := e != nil && !placer.Short(e, c.Requirements.Prompt)
+	long := e != nil && !placer.IsShort(e, c.Requirements.Prompt)
 	var best *summary
 	for other, s := range a.summaries {
 		if other.Service != g.Service || other.Zone == g.Zone || now.Sub(s.at) > freshSummary || s.engines == 0 {
@@ -110,7 +110,7 @@
 	}
 	best.free--
 	if e != nil {
-		best.reading += placer.Read(e, c.Requirements.Prompt, 1) / float64(best.engines)
+		best.reading += placer.PrefillTime(e, c.Requirements.Prompt, 1) / float64(best.engines)
 	}
 	a.count("asks.elsewhere")
 	return zone, true
--- a/entry/process/joiner/budget.go
+++ b/entry/process/joiner/budget.go
@@ -18,7 +18,7 @@
 func newBudget(v *Process) *budget {
 	s := v.settings.Load()
 	began := time.Now()
-	if s.Together {
+	if s.FleetBootstrap {
 		began = time.Time{}
 	}
 	return &budget{
@@ -37,19 +37,19 @@
 	return r
 }
 
-// Sent counts a request's first sending.
-func (b *budget) Sent(service string) {
+// RecordRequest counts a request's first sending.
+func (b *budget) RecordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(service).Sent(time.Now())
 }
 
-// Take asks for a repeat.
-func (b *budget) Take(service string) bool {
+// TakeRetry asks for a repeat.
+func (b *budget) TakeRetry(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.history.Record(now, b.process.gossiper.VMs())
+	b.history.Record(now, b.process.gossiper.LiveVMs())
 	return b.of(service).TryRetry(now, b.process.settings.Load().VM, b.history)
 }
 
@@ -57,5 +57,5 @@
 func (b *budget) note(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.history.Record(now, b.process.gossiper.VMs())
+	b.history.Record(now, b.process.gossiper.LiveVMs())
 }
--- a/entry/process/scheduler/grant.go
+++ b/entry/process/scheduler/grant.go
@@ -62,18 +62,18 @@
 	for _, n := range w.ReservedTokens {
 		context -= n
 	}
-	perPart := placer.Load{Unread: w.Prefill}
+	perPart := placer.Load{PendingPrefill: w.Prefill}
 	if w.Long {
 		perPart.Parts = 1
 	}
 	main := perPart
 	main.Starting = 1
-	stakes := placer.Ask{Prompt: w.Prompt, Pause: w.MaxPause}.Stake()
-	all := []upstreamLoad{{w.Main, main, placer.Load{Streams: 1, Context: max(0, context), Stakes: stakes}}}
+	stakes := placer.Request{Prompt: w.Prompt, MaxPause: w.MaxPause}.PauseWeights()
+	all := []upstreamLoad{{w.Main, main, placer.Load{Streams: 1, ContextTokens: max(0, context), PauseWeights: stakes}}}
 	for i, id := range w.Helpers {
 		untilEnd := placer.Load{}
 		if i < len(w.ReservedTokens) {
-			untilEnd.Context = w.ReservedTokens[i]
+			untilEnd.ContextTokens = w.ReservedTokens[i]
 		}
 		all = append(all, upstreamLoad{id, perPart, untilEnd})
 	}
@@ -81,19 +81,19 @@
 }
 
 // grant takes the chosen slots. The caller holds the lock.
-func (s *Scheduler) grant(now time.Time, w *waiter, c placer.Choice, states []tracker.State) *Grant {
+func (s *Scheduler) grant(now time.Time, w *waiter, c placer.Placement, states []tracker.State) *Grant {
 	main := states[c.Main]
-	g := &Grant{Upstream: main, Estimate: c.First, scheduler: s}
+	g := &Grant{Upstream: main, Estimate: c.TimeToFirstEvent, scheduler: s}
 	if l, ok := s.loads[main.ID]; ok {
 		g.Load = *l
 	}
 	reserved := make(map[int]int)
-	for _, t := range c.Tickets {
+	for _, t := range c.Reservations {
 		reserved[t.Candidate] = t.Tokens
 	}
 	g.Workload = Workload{
-		Prompt: w.request.Requirements.Prompt, Output: w.request.Requirements.Output, MaxPause: w.request.Requirements.Pause,
-		Prefill: c.Read, Long: w.timing.long, Main: main.ID,
+		Prompt: w.request.Requirements.Prompt, Output: w.request.Requirements.Output, MaxPause: w.request.Requirements.MaxPause,
+		Prefill: c.PrefillTime, Long: w.timing.long, Main: main.ID,
 	}
 	for _, i := range c.Helpers {
 		g.Helpers = append(g.Helpers, Helper{states[i].Upstream, reserved[i]})
@@ -103,7 +103,7 @@
 	g.reserve()
 	s.coldLimiter(main.ID).Sent(now)
 	s.countSent(&main)
-	s.ranker(w.request.Service.Name).Note(now, w.request.Team, teamShare, max(1, w.request.Requirements.Prompt+w.request.Requirements.Output))
+	s.ranker(w.request.Service.Name).Record(now, w.request.Team, teamShare, max(1, w.request.Requirements.Prompt+w.request.Requirements.Output))
 	return g
 }
 
--- a/entry/process/scheduler/overload_test.go
+++ b/entry/process/scheduler/overload_test.go
@@ -87,9 +87,9 @@
 			continue
 		}
 		a := &arrival{arrivedAt: s.now}
-		c := scheduler.Request{Service: service, Requirements: placer.Ask{
-			Prompt: 5000, Output: 3400, Pause: 250, Arrived: s.now, Objective: s.now.Add(objective),
-			Leaves: s.now.Add(2 * time.Second), Deadline: s.now.Add(10 * time.Second),
+		c := scheduler.Request{Service: service, Requirements: placer.Request{
+			Prompt: 5000, Output: 3400, MaxPause: 250, Arrived: s.now, Objective: s.now.Add(objective),
+			CallerTimeout: s.now.Add(2 * time.Second), Deadline: s.now.Add(10 * time.Second),
 		}}
 		a.out = s.submit(c)
 		all = append(all, a)
--- a/entry/process/scheduler/queue.go
+++ b/entry/process/scheduler/queue.go
@@ -32,7 +32,7 @@
 		if w.timing.late(now) {
 			w.late = 1
 		}
-		if s.ranker(w.request.Service.Name).Over(now, w.request.Team) {
+		if s.ranker(w.request.Service.Name).OverShare(now, w.request.Team) {
 			w.overShare = 1
 		}
 	}
@@ -142,12 +142,12 @@
 	if !ok {
 		// A request that no engine can start in time must not hold back later ones
 		// that have more time left.
-		w.blocks, w.retryAt = choice.Lack != placer.LackTime, now.Add(retryInterval)
+		w.blocks, w.retryAt = choice.Reason != placer.TooLate, now.Add(retryInterval)
 		if !w.blocks {
 			w.retryAt = now.Add(lackTimeRetryInterval)
 		}
 		p.blocked[c] = w.blocks
-		w.wait.switchTo(now, waitReason(choice.Lack))
+		w.wait.switchTo(now, waitReason(choice.Reason))
 		return reply{}, false
 	}
 	g := s.grant(now, w, choice, states)
@@ -164,11 +164,11 @@
 	return slices.DeleteFunc(states, func(u tracker.State) bool { return u.Zone != s.zone })
 }
 
-func (s *Scheduler) choose(now time.Time, w *waiter, cs []placer.Candidate) (placer.Choice, bool) {
+func (s *Scheduler) choose(now time.Time, w *waiter, cs []placer.Candidate) (placer.Placement, bool) {
 	if w.request.Service.Engine == nil {
-		return placer.Plain(w.request.Requirements, cs)
+		return placer.ChoosePlain(w.request.Requirements, cs)
 	}
-	return placer.Engine(w.request.Service.Engine, w.request.Requirements, cs, now, w.timing.urgency(now))
+	return placer.ChooseEngines(w.request.Service.Engine, w.request.Requirements, cs, now, w.timing.urgency(now))
 }
 
 func (s *Scheduler) candidates(now time.Time, r Request, states []tracker.State) []placer.Candidate {
@@ -176,19 +176,19 @@
 	for i := range states {
 		u := &states[i]
 		c := placer.Candidate{
-			ID: u.ID, Zone: u.Zone, Slots: u.Slots, Near: u.Zone == r.Zone, Room: unlimitedRoom,
-			Cold: now.Before(u.ColdUntil), Silent: now.Before(u.SilentUntil) || slices.Contains(r.Unreachable, u.ID),
-			Leaves: now.Before(u.LeavesUntil), Failed: u.Outcomes.Failed, Answered: u.Outcomes.Answered,
+			ID: u.ID, Zone: u.Zone, Slots: u.Slots, SameZone: u.Zone == r.Zone, Quota: unlimitedRoom,
+			Cold: now.Before(u.ColdUntil), Unreachable: now.Before(u.UnreachableUntil) || slices.Contains(r.Unreachable, u.ID),
+			Leaving: now.Before(u.LeavingUntil), Failed: u.Outcomes.Failed, Answered: u.Outcomes.Answered,
 		}
 		if l, ok := s.loads[u.ID]; ok {
 			c.Load = *l
 		}
 		c.Load.Add(s.assumedLoadAt(u.Slots))
 		if rate := r.Service.ColdRate; rate > 0 && c.Cold {
-			c.Room = s.coldLimiter(u.ID).Available(now, s.deps.ColdQuota(u.ID, rate))
+			c.Quota = s.coldLimiter(u.ID).Available(now, s.deps.ColdQuota(u.ID, rate))
 		}
 		if u.Limit.Limited {
-			c.Room = min(c.Room, s.availableAt(now, u))
+			c.Quota = min(c.Quota, s.availableAt(now, u))
 		}
 		cs = append(cs, c)
 	}
--- a/entry/process/scheduler/scheduler.go
+++ b/entry/process/scheduler/scheduler.go
@@ -46,7 +46,7 @@
 // A Request asks for a slot at an upstream.
 type Request struct {
 	Service      *matcher.Service
-	Requirements placer.Ask
+	Requirements placer.Request
 	// Priority orders the queue; 0 is the most urgent.
 	Priority int
 	// Team is the team that sent the request.
@@ -218,7 +218,7 @@
 	if sign > 0 {
 		sum.Add(l)
 	} else {
-		sum.Take(l)
+		sum.Sub(l)
 	}
 	if *sum == (placer.Load{}) {
 		delete(s.loads, id)
@@ -260,7 +260,7 @@
 	sum := 0.0
 	for _, w := range s.queue {
 		if e := w.request.Service.Engine; e != nil {
-			sum += placer.Read(e, w.request.Requirements.Prompt, 1)
+			sum += placer.PrefillTime(e, w.request.Requirements.Prompt, 1)
 		}
 	}
 	return sum
--- a/entry/process/scheduler/scheduler_test.go
+++ b/entry/process/scheduler/scheduler_test.go
@@ -49,8 +49,8 @@
 // request returns a request whose deadline is after limit, and whose objective is
 // after a tenth of it.
 func (f *fleet) request(prompt int, limit time.Duration) scheduler.Request {
-	return scheduler.Request{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Requirements: placer.Ask{
-		Prompt: prompt, Output: 40, Pause: 250, Arrived: f.now, Objective: f.now.Add(limit / 10), Deadline: f.now.Add(limit),
+	return scheduler.Request{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Requirements: placer.Request{
+		Prompt: prompt, Output: 40, MaxPause: 250, Arrived: f.now, Objective: f.now.Add(limit / 10), Deadline: f.now.Add(limit),
 	}}
 }
 
@@ -292,7 +292,7 @@
 func TestFailuresFoundByOtherVMsCount(t *testing.T) {
 	f := newFleet(2)
 	for range 3 {
-		f.tracker.Learn(f.now, tracker.Event{Finding: tracker.FoundFailing, Upstreams: []string{"u0"}})
+		f.tracker.MergeEvent(f.now, tracker.Event{Finding: tracker.FoundFailure, Upstreams: []string{"u0"}})
 	}
 	for range 2 {
 		g, _ := f.acquire(t, f.request(5000, 10*time.Second))
@@ -320,7 +320,7 @@
 // second. It must place no more there; further requests wait or go elsewhere.
 func TestColdUpstreamStaysWithinItsQuota(t *testing.T) {
 	f := newFleet(1)
-	f.tracker.TurnedCold(f.now, "u0", time.Minute)
+	f.tracker.ReportCold(f.now, "u0", time.Minute)
 	for range 4 {
 		g, refusal := f.acquire(t, f.request(1000, 100*time.Second))
 		assert.Assert(t, refusal == nil)
@@ -338,7 +338,7 @@
 func TestRequestIsRefusedBeforeItsCallerDisconnects(t *testing.T) {
 	f := newFullFleet(t)
 	c := f.request(1000, 100*time.Second)
-	c.Requirements.Leaves = f.now.Add(2 * time.Second)
+	c.Requirements.CallerTimeout = f.now.Add(2 * time.Second)
 	out := f.submit(c)
 	f.now = f.now.Add(1700 * time.Millisecond)
 	f.Dispatch()
@@ -383,17 +383,17 @@
 // queues the request.
 func TestServiceWithoutUpstreamsRefusesImmediately(t *testing.T) {
 	f := newFleet(0)
-	plain := scheduler.Request{Service: &matcher.Service{Name: "s"}, Requirements: placer.Ask{Arrived: f.now, Objective: f.now.Add(300 * time.Millisecond), Deadline: f.now.Add(800 * time.Millisecond)}}
+	plain := scheduler.Request{Service: &matcher.Service{Name: "s"}, Requirements: placer.Request{Arrived: f.now, Objective: f.now.Add(300 * time.Millisecond), Deadline: f.now.Add(800 * time.Millisecond)}}
 	for _, c := range []scheduler.Request{plain, f.request(1000, 10*time.Second), f.request(60_000, 10*time.Second)} {
 		g, refusal := f.acquire(t, c)
 		assert.Assert(t, g == nil)
 		assert.Equal(t, refusal.Code, scheduler.CodeNoUpstream)
 		assert.Assert(t, refusal.RetryAfter > 0)
 	}
-	f.tracker.Outdate(true)
+	f.tracker.SetOutdated(true)
 	queued := f.submit(plain)
 	assert.Equal(t, f.QueueLength(), 1)
-	f.tracker.Outdate(false)
+	f.tracker.SetOutdated(false)
 	f.tracker.Put(f.now, tracker.Upstream{ID: "u", Service: "s", Slots: 2})
 	f.Dispatch()
 	assert.Assert(t, (<-queued).grant != nil)
@@ -402,7 +402,7 @@
 // setRateLimit sets the rate limit of upstreams, or removes it if rate is 0.
 func (f *fleet) setRateLimit(rate float64, ids ...string) {
 	for _, id := range ids {
-		f.tracker.Limit(id, tracker.Limit{Limited: rate > 0, Rate: rate, AsOf: f.now})
+		f.tracker.ReportLimit(id, tracker.Limit{Limited: rate > 0, Rate: rate, AsOf: f.now})
 	}
 }
 
--- a/entry/process/scheduler/times.go
+++ b/entry/process/scheduler/times.go
@@ -71,20 +71,20 @@
 	if e == nil {
 		return timing{latestStart: r.Requirements.Objective, giveUpAt: r.Requirements.Deadline.Add(-plainServiceTime), duration: plainServiceTime}
 	}
-	long := !placer.Short(e, r.Requirements.Prompt)
-	prefill := placer.Read(e, r.Requirements.Prompt, 1)
+	long := !placer.IsShort(e, r.Requirements.Prompt)
+	prefill := placer.PrefillTime(e, r.Requirements.Prompt, 1)
 	if long {
-		prefill = placer.Read(e, r.Requirements.Prompt, placer.MostParts+1)
+		prefill = placer.PrefillTime(e, r.Requirements.Prompt, placer.MaxHelpers+1)
 	}
-	pass := placer.Pass(e, typicalStreams, typicalContext)
+	pass := placer.DecodePassTime(e, typicalStreams, typicalContext)
 	first := milliseconds(1.5*pass + prefill)
 	// The actual length of the answer is not known in advance. If requests were
 	// refused for the maximum length, most would lose an answer that they could
 	// have had.
-	answer := milliseconds(pass * placer.UsualOutput * float64(r.Requirements.Output) / float64(max(1, e.Stride)))
+	answer := milliseconds(pass * placer.TypicalOutputShare * float64(r.Requirements.Output) / float64(max(1, e.Stride)))
 	latestUsefulStart := time.Time{}
-	if !r.Requirements.Leaves.IsZero() {
-		latestUsefulStart = r.Requirements.Leaves.Add(-first - latencyMargin)
+	if !r.Requirements.CallerTimeout.IsZero() {
+		latestUsefulStart = r.Requirements.CallerTimeout.Add(-first - latencyMargin)
 	}
 	return timing{
 		latestStart:       r.Requirements.Objective.Add(-first - latencyMargin),
@@ -92,7 +92,7 @@
 		latestUsefulStart: latestUsefulStart,
 		duration:          first + answer,
 		long:              long,
-		sizeClass:         bits.Len(uint(placer.Read(e, r.Requirements.Prompt, 1) / minSizedPrefill)),
+		sizeClass:         bits.Len(uint(placer.PrefillTime(e, r.Requirements.Prompt, 1) / minSizedPrefill)),
 	}
 }
 
@@ -101,11 +101,11 @@
 func (t timing) urgency(now time.Time) placer.Urgency {
 	switch {
 	case t.giveUpAt.Sub(now) < urgentWindow:
-		return placer.Last
+		return placer.LastChance
 	case t.late(now):
 		return placer.Late
 	}
-	return placer.Patient
+	return placer.OnTime
 }
 
 func milliseconds(ms float64) time.Duration {
--- a/entry/process/scheduler/wait.go
+++ b/entry/process/scheduler/wait.go
@@ -12,7 +12,7 @@
 
 const (
 	// waitBlocked means that an earlier request of the same class is queued.
-	waitBlocked = waitReason(placer.Lacks) + iota
+	waitBlocked = waitReason(placer.NumReasons) + iota
 	// waitSync means that the current load was not known yet, or that it was not
 	// known whether the scheduling VM is reachable.
 	waitSync
@@ -27,7 +27,7 @@
 	if r == waitSync {
 		return "sync"
 	}
-	return placer.Lack(r).String()
+	return placer.Reason(r).String()
 }
 
 // WaitTimes is how long a request was queued, by reason.
--- a/entry/request/passer/passer.go
+++ b/entry/request/passer/passer.go
@@ -53,7 +53,7 @@
 // A Quarantine keeps requests from upstreams that crash whoever runs them, at all
 // VMs.
 type Quarantine interface {
-	Came(f fingerprinter.Fingerprint) (after time.Duration, held bool)
+	Arrived(f fingerprinter.Fingerprint) (after time.Duration, held bool)
 	Held(f fingerprinter.Fingerprint) (after time.Duration, held bool)
 	Lost(f fingerprinter.Fingerprint, upstream string, born int64) (losses int)
 	Served(f fingerprinter.Fingerprint)
@@ -149,7 +149,7 @@
 		return
 	}
 	// A repeated key gets its first outcome, also while the call is held.
-	if after, held := p.deps.Quarantine.Came(c.fingerprint); held {
+	if after, held := p.deps.Quarantine.Arrived(c.fingerprint); held {
 		p.refuse(w, quarantined(after))
 		return
 	}
@@ -177,7 +177,7 @@
 		return nil, refuser.New(http.StatusNotFound, "service_not_found", "there is no service %.60q", name)
 	}
 	if q.Header.Get("Upgrade") != "" {
-		return nil, refuser.At("Upgrade", "unsupported", "calls cannot change their protocol")
+		return nil, refuser.BadRequest("Upgrade", "unsupported", "calls cannot change their protocol")
 	}
 	s := v.Manifest.Services[name]
 	limit, refusal := authenticator.Limit(q, s.Limit, s.Least, s.Most)
@@ -190,7 +190,7 @@
 	}
 	c := &call{
 		id: p.id(), method: q.Method, path: "/" + path, service: name, team: team, pool: pool, view: v,
-		header: trimmer.Onward(q.Header), body: body, arrived: arrived, deadline: arrived.Add(limit),
+		header: trimmer.EndToEndHeaders(q.Header), body: body, arrived: arrived, deadline: arrived.Add(limit),
 		repeatable: v.Repeatable(name, q.Method, q.URL.Path[min(len(q.URL.Path), len(Prefix)+len(name)):]),
 	}
 	if q.URL.RawQuery != "" {
@@ -201,7 +201,7 @@
 }
 
 func quarantined(after time.Duration) *refuser.Refusal {
-	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the call has crashed the upstreams that ran it").Back(after)
+	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the call has crashed the upstreams that ran it").WithRetryAfter(after)
 }
 
 func (p *Passer) id() string {
