--- a/entry/process/scheduler/queue.go
+++ b/entry/process/scheduler/queue.go
@@ -10,8 +10,8 @@
 	"github.com/heathervane/heathervane/entry/request/ranker"
 )
 
-// unlimitedRoom is the room at an upstream that is neither cold nor rate limited.
-const unlimitedRoom = 1 << 20
+// unlimitedQuota is the quota of an upstream that is neither cold nor rate limited.
+const unlimitedQuota = 1 << 20
 
 // compareWaiters orders by priority, then requests that can still be in time before
 // late ones, then teams within their share before teams over it, then by latest
@@ -138,19 +138,19 @@
 	if len(states) == 0 && !s.deps.Tracker.Outdated() {
 		return reply{refusal: &Refusal{Code: CodeNoUpstream, RetryAfter: defaultRetryAfter, WaitTimes: w.wait.stop(now)}}, true
 	}
-	choice, ok := s.choose(now, w, s.candidates(now, w.request, states))
+	placement, ok := s.choose(now, w, s.candidates(now, w.request, states))
 	if !ok {
 		// A request that no engine can start in time must not hold back later ones
 		// that have more time left.
-		w.blocks, w.retryAt = choice.Reason != placer.TooLate, now.Add(retryInterval)
+		w.blocks, w.retryAt = placement.Reason != placer.TooLate, now.Add(retryInterval)
 		if !w.blocks {
-			w.retryAt = now.Add(lackTimeRetryInterval)
+			w.retryAt = now.Add(tooLateRetryInterval)
 		}
 		p.blocked[c] = w.blocks
-		w.wait.switchTo(now, waitReason(choice.Reason))
+		w.wait.switchTo(now, waitReason(placement.Reason))
 		return reply{}, false
 	}
-	g := s.grant(now, w, choice, states)
+	g := s.grant(now, w, placement, states)
 	g.WaitTimes = w.wait.stop(now)
 	return reply{grant: g}, true
 }
@@ -176,7 +176,7 @@
 	for i := range states {
 		u := &states[i]
 		c := placer.Candidate{
-			ID: u.ID, Zone: u.Zone, Slots: u.Slots, SameZone: u.Zone == r.Zone, Quota: unlimitedRoom,
+			ID: u.ID, Zone: u.Zone, Slots: u.Slots, SameZone: u.Zone == r.Zone, Quota: unlimitedQuota,
 			Cold: now.Before(u.ColdUntil), Unreachable: now.Before(u.UnreachableUntil) || slices.Contains(r.Unreachable, u.ID),
 			Leaving: now.Before(u.LeavingUntil), Failed: u.Outcomes.Failed, Answered: u.Outcomes.Answered,
 		}
--- a/entry/process/scheduler/scheduler.go
+++ b/entry/process/scheduler/scheduler.go
@@ -26,9 +26,9 @@
 	// queued request. One attempt takes some tens of microseconds, and under load
 	// hundreds of events per second could each change its result.
 	retryInterval = 4 * time.Millisecond
-	// lackTimeRetryInterval replaces retryInterval for a request that no engine
+	// tooLateRetryInterval replaces retryInterval for a request that no engine
 	// could start in time. That changes only when engines finish a prefill.
-	lackTimeRetryInterval = 20 * time.Millisecond
+	tooLateRetryInterval = 20 * time.Millisecond
 )
 
 // Deps are the dependencies of a Scheduler.
--- a/entry/process/scheduler/times.go
+++ b/entry/process/scheduler/times.go
@@ -30,7 +30,7 @@
 
 // timing holds the deadlines of a queued request.
 type timing struct {
-	// latestStart is the latest start at which the first event is by the objective.
+	// latestStart is the latest start at which the first event meets the objective.
 	latestStart time.Time
 	// giveUpAt is when the request can no longer be completed by its deadline, and
 	// duration is the time it needs to complete.
@@ -58,7 +58,7 @@
 	return !t.latestUsefulStart.IsZero() && !now.Before(t.latestUsefulStart)
 }
 
-// late reports whether the first event can no longer be by the objective. A request
+// late reports whether the first event can no longer meet the objective. A request
 // counts as late as soon as its latest start has passed. In a burst slightly above the
 // engines' capacity, a request that might just make it would otherwise go before
 // others that would make it, and each would be served a moment too late.
--- a/entry/process/scheduler/wait.go
+++ b/entry/process/scheduler/wait.go
@@ -6,7 +6,7 @@
 	"github.com/heathervane/heathervane/entry/request/placer"
 )
 
-// A waitReason is why a request is queued: a placer.Lack, or one of the constants
+// A waitReason is why a request is queued: a placer.Reason, or one of the constants
 // below.
 type waitReason int
 
