--- a/entry/process/joiner/fold.go
+++ b/entry/process/joiner/fold.go
@@ -64,9 +64,9 @@
 func (v *Process) newSyncers() {
 	wait, interval := v.settings.Load().Bounds.ReadIntervals()
 	for _, s := range []syncer.Stream{
-		{Name: Configuration, Wait: wait, Stale: wait + staleMargin, Behind: configBehindLimit, Shared: true},
-		{Name: Upstreams, Every: interval, Stale: interval + staleMargin, Shared: true},
-		{Name: VMs, Every: vmsInterval, Stale: 2 * vmsInterval, Shared: true},
+		{Name: Configuration, Wait: wait, StaleAfter: wait + staleMargin, MaxLag: configBehindLimit, Shared: true},
+		{Name: Upstreams, Interval: interval, StaleAfter: interval + staleMargin, Shared: true},
+		{Name: VMs, Interval: vmsInterval, StaleAfter: 2 * vmsInterval, Shared: true},
 	} {
 		s.Copy = v.copies[s.Name]
 		v.syncers = append(v.syncers, syncer.New(s, v.platform, fetcher{v.gossiper}, time.Now, v.log))
@@ -142,7 +142,7 @@
 	for name, outOfService := range v.zones {
 		zones[name] = outOfService
 	}
-	v.tracker.TakeOut(zones)
+	v.tracker.SetDisabledZones(zones)
 	v.log.Info().Str("zone", zone).Bool("out", out).Int64("offset", offset).Msg("zone service state set")
 }
 
@@ -152,7 +152,7 @@
 	now := time.Now()
 	afterOutage := gap > outageThreshold
 	for _, r := range rs {
-		if r.Dropped {
+		if r.Deleted {
 			if v.tracker.Remove(now, r.Key, afterOutage) {
 				v.markRelevant(Upstreams, r)
 				v.log.Info().Str("upstream", r.Key).Int64("offset", r.Offset).Bool("lapsed", afterOutage).Dur("silence", gap).Msg("upstream removed from the list")
@@ -169,13 +169,13 @@
 		if v.tracker.Put(now, u) {
 			v.markRelevant(Upstreams, r)
 			v.log.Info().Str("upstream", u.ID).Str("service", u.Service).Str("zone", u.Zone).Str("address", u.Address).
-				Bool("draining", u.Draining).Dur("cold", u.Cold).Int64("born", u.Born).Int64("offset", r.Offset).Msg("upstream added or changed")
+				Bool("draining", u.Draining).Dur("cold", u.Cold).Int64("born", u.StartedAt).Int64("offset", r.Offset).Msg("upstream added or changed")
 		}
 	}
 	if v.listed.CompareAndSwap(false, true) {
 		// This must come after all entries: otherwise a request that waits for the list
 		// would be refused for lack of upstreams while entries are still being applied.
-		v.tracker.Outdate(false)
+		v.tracker.SetOutdated(false)
 	}
 	v.allocator.Dispatch()
 }
@@ -200,13 +200,13 @@
 // requests that it could serve a moment later.
 func (v *Process) checkOutdated() {
 	for name, c := range v.copies {
-		c.Heard(v.gossiper.LastConfirmed(name))
+		c.RecordAnswer(v.gossiper.LastConfirmed(name))
 	}
 	upstreams := v.copies[Upstreams]
-	behind := upstreams.Behind()
+	behind := upstreams.Lag()
 	_, asOf := upstreams.End()
 	outdated := asOf.IsZero() || behind > time.Duration(outdatedFraction*float64(v.settings.Load().Bounds.DrainTimeout))
-	if !v.tracker.Outdate(outdated) {
+	if !v.tracker.SetOutdated(outdated) {
 		return
 	}
 	v.log.Warn().Bool("outdated", outdated).Dur("behind", behind).Msg("state of the upstream list changed")
@@ -216,7 +216,7 @@
 // applyVMs applies records of the VMs stream.
 func (v *Process) applyVMs(rs []replicator.Record, _ time.Duration) {
 	for _, r := range rs {
-		if v.applyQuarantine(r) || r.Dropped {
+		if v.applyQuarantine(r) || r.Deleted {
 			continue
 		}
 		m, err := v.platform.ParseMember(r)
@@ -257,7 +257,7 @@
 	if err != nil {
 		v.log.Warn().Err(err).Msg("failed to read the list of VMs")
 	} else {
-		v.copies[VMs].Complete(rs, end, time.Now())
+		v.copies[VMs].MergeSnapshot(rs, end, time.Now())
 	}
 	v.gossiper.SendHello()
 	if registered := v.registered.Load(); registered == nil || *registered != v.self {
--- a/entry/process/joiner/joiner.go
+++ b/entry/process/joiner/joiner.go
@@ -193,7 +193,7 @@
 	}
 	v.settings.Store(&settings)
 	// Until a list of upstreams has been read, it counts as outdated.
-	v.tracker.Outdate(true)
+	v.tracker.SetOutdated(true)
 	if err := v.openListeners(settings); err != nil {
 		return nil, err
 	}
--- a/entry/process/joiner/quarantine.go
+++ b/entry/process/joiner/quarantine.go
@@ -66,7 +66,7 @@
 		return true
 	}
 	v.markRelevant(VMs, r)
-	if r.Dropped {
+	if r.Deleted {
 		v.quarantine.Lift(q.Fingerprint)
 		v.pendingDeletes.remove(q.Fingerprint)
 		return true
--- a/entry/process/prober/prober.go
+++ b/entry/process/prober/prober.go
@@ -105,7 +105,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	states := slices.DeleteFunc(p.deps.Tracker.Usable(r.startedAt, s.Name), func(u tracker.State) bool {
-		return r.startedAt.Before(u.ColdUntil) || r.startedAt.Before(u.LeavesUntil)
+		return r.startedAt.Before(u.ColdUntil) || r.startedAt.Before(u.LeavingUntil)
 	})
 	states = states[:min(len(states), maxProbes)]
 	leaving := make([]bool, len(states))
@@ -117,7 +117,7 @@
 	var leavingIDs []string
 	for i := range states {
 		if leaving[i] {
-			p.deps.Tracker.Leaves(p.deps.Now(), states[i].ID)
+			p.deps.Tracker.ReportLeaving(p.deps.Now(), states[i].ID)
 			leavingIDs = append(leavingIDs, states[i].ID)
 		}
 	}
--- a/entry/process/prober/prober_test.go
+++ b/entry/process/prober/prober_test.go
@@ -38,7 +38,7 @@
 
 func isLeaving(upstreams *tracker.Tracker, id string) bool {
 	u, _ := upstreams.Get(id)
-	return time.Now().Before(u.LeavesUntil)
+	return time.Now().Before(u.LeavingUntil)
 }
 
 // Only an upstream that reports itself unhealthy may be marked as leaving. One that is
