--- a/entry/process/joiner/fold.go
+++ b/entry/process/joiner/fold.go
@@ -18,10 +18,10 @@
 	// hold a long poll for the configuration. When all readers of a zone have fallen
 	// silent, the other VMs notice only after that time.
 	configWaitFraction = 0.5
-	// configBehindLimit is how long another VM may have a newer configuration before it is
+	// configMaxLag is how long another VM may have a newer configuration before it is
 	// asked for it: the platform's own response takes some milliseconds, and versions must
 	// be in force within two seconds.
-	configBehindLimit = 200 * time.Millisecond
+	configMaxLag = 200 * time.Millisecond
 	// upstreamsIntervalFraction is the fraction of DrainTimeout after which the list of
 	// upstreams is read again. The list is not long-polled: upstreams write to it all the
 	// time, so a long poll would return at each of their heartbeats.
@@ -64,7 +64,7 @@
 func (v *Process) newSyncers() {
 	wait, interval := v.settings.Load().Bounds.ReadIntervals()
 	for _, s := range []syncer.Stream{
-		{Name: Configuration, Wait: wait, StaleAfter: wait + staleMargin, MaxLag: configBehindLimit, Shared: true},
+		{Name: Configuration, Wait: wait, StaleAfter: wait + staleMargin, MaxLag: configMaxLag, Shared: true},
 		{Name: Upstreams, Interval: interval, StaleAfter: interval + staleMargin, Shared: true},
 		{Name: VMs, Interval: vmsInterval, StaleAfter: 2 * vmsInterval, Shared: true},
 	} {
@@ -203,13 +203,13 @@
 		c.RecordAnswer(v.gossiper.LastConfirmed(name))
 	}
 	upstreams := v.copies[Upstreams]
-	behind := upstreams.Lag()
+	lag := upstreams.Lag()
 	_, asOf := upstreams.End()
-	outdated := asOf.IsZero() || behind > time.Duration(outdatedFraction*float64(v.settings.Load().Bounds.DrainTimeout))
+	outdated := asOf.IsZero() || lag > time.Duration(outdatedFraction*float64(v.settings.Load().Bounds.DrainTimeout))
 	if !v.tracker.SetOutdated(outdated) {
 		return
 	}
-	v.log.Warn().Bool("outdated", outdated).Dur("behind", behind).Msg("state of the upstream list changed")
+	v.log.Warn().Bool("outdated", outdated).Dur("behind", lag).Msg("state of the upstream list changed")
 	v.allocator.Dispatch()
 }
 
