--- a/entry/process/allocator/allocator.go
+++ b/entry/process/allocator/allocator.go
@@ -1,22 +1,25 @@
-// Package allocator has the places at a group of upstreams given by one VM. It
-// answers fleets of many VMs before many engines: where each VM decides alone by
-// what the others have told it, two that see the same engine idle send their
-// prompts there at the same moment, and what they tell each other grows with the
-// square of their number.
+// Package allocator lets one VM, the leader, allocate the upstreams of a group
+// for all VMs. It is meant for fleets of many VMs in front of many engines. If
+// each VM decided alone from what the others have reported, two VMs that see
+// the same idle engine would send their prompts to it at the same moment, and
+// the reports would grow with the square of the number of VMs.
 //
-// A VM that has a request sends the group's leader a small ask, without a byte of
-// the prompt. The leader orders what waits, chooses the upstreams and grants
-// places; the VM speaks to the upstreams itself and reports when the first event
-// has come and when the place is free again.
+// A VM that has a request sends the group's leader a small allocation request
+// that contains no byte of the prompt. The leader orders the waiting requests,
+// chooses the upstreams and grants placements. The VM talks to the upstreams
+// itself and reports when the first event of the response has arrived and when
+// the placement is released.
 //
-// All of it is soft state. The leader is the first by a hash over the VMs that
-// live, and nobody elects it: two at once or none for a moment cost worth and
-// break no promise, as upstreams queue or refuse what exceeds them. A leader that
-// does not answer is skipped; whoever is asked next first has all VMs tell what
-// they have under way. A VM that cannot be heard by anybody decides alone.
+// All of this is soft state. The leader is the live VM that ranks first by
+// zone, cores and a hash; there is no election. Having two leaders or none for
+// a moment makes placement worse but breaks no guarantee, because upstreams
+// queue or refuse what exceeds their capacity. A leader that does not answer is
+// skipped, and the VM that is asked next first collects from all VMs what they
+// have in progress. A VM that cannot reach any other decides alone.
 //
-// Promises do not rest on it: whoever sends looks right before whether its own
-// list still names the upstream, and a grant is used only while it is waited for.
+// No guarantee depends on this package: a VM checks right before sending
+// whether its own list still contains the upstream, and a grant is used only
+// while the request still waits for it.
 package allocator
 
 import (
@@ -34,205 +37,214 @@
 )
 
 const (
-	// TickInterval is how often a VM does what is due while something waits, and
-	// restEvery while nothing does: each one wakes the process.
-	TickInterval = 25 * time.Millisecond
-	restEvery    = 250 * time.Millisecond
-	// paused is the time between two ticks above which the process counts as paused.
-	paused = 2 * restEvery
+	// TickInterval is the time between ticks while requests wait, and
+	// idleTickInterval the time between ticks otherwise. The idle interval is
+	// longer because each tick wakes the process.
+	TickInterval     = 25 * time.Millisecond
+	idleTickInterval = 250 * time.Millisecond
+	// pauseThreshold is the time between two ticks above which the process is
+	// considered to have been paused.
+	pauseThreshold = 2 * idleTickInterval
 )
 
-// A Sender sends datagrams. It does not block.
+// A Sender sends datagrams without blocking.
 type Sender interface {
 	Send(to netip.AddrPort, data []byte) error
 }
 
-// A Timer calls back every so often, until it is told to stop.
+// A Timer calls a function periodically until the subscription is stopped.
 type Timer interface {
 	Subscribe(every time.Duration, call func(time.Time)) (stop func())
 }
 
-// A Meter counts.
+// A Meter counts events by metric name.
 type Meter interface {
 	Count(name string, n int64)
 }
 
-// Deps are what an Allocator works with.
+// Deps holds the dependencies of an Allocator.
 type Deps struct {
 	Tracker *tracker.Tracker
 	Sender  Sender
 	Timer   Timer
 	Meter   Meter
-	// Members are the other VMs that live.
+	// Members returns the other live VMs.
 	Members func() []Member
-	// FleetSize is how many VMs there may be, this one and those included that are not
-	// heard at present.
+	// FleetSize returns the number of VMs that may exist, including this one
+	// and those that currently cannot be heard.
 	FleetSize func() int
-	// Service finds a service in the configuration.
+	// Service looks up a service in the configuration.
 	Service func(name string) (*matcher.Service, bool)
-	// ColdStartQuota is how many requests a second may be placed at an upstream in
-	// cold start that bears so many: by whoever leads its group, or by this VM
-	// alone.
+	// ColdStartQuota returns how many requests per second this VM may place at
+	// an upstream in cold start that tolerates rate requests per second from
+	// all VMs. leads reports whether this VM places them as a leader rather
+	// than only for its own requests.
 	ColdStartQuota func(upstream string, rate float64, leads bool) int
 	Now            func() time.Time
 	Log            zerolog.Logger
 }
 
-// An Allocator is one VM's side: it asks for this VM's requests, and leads the
-// groups for which it is asked.
+// An Allocator requests placements for the requests of one VM, and grants
+// placements in the groups that this VM leads.
 type Allocator struct {
 	me   Member
 	boot int64
 	deps Deps
 
 	mu sync.Mutex
-	// began is when this run of the process began.
-	began   time.Time
-	leaving bool
-	// stop is when this VM stops; zero while it does not.
-	stop     time.Time
+	// startedAt is when the Allocator was created.
+	startedAt time.Time
+	leaving   bool
+	// stopsAt is when this VM stops; zero while no stop is planned.
+	stopsAt  time.Time
 	suspects map[netip.AddrPort]suspicion
-	// suspected counts suspicions, and leaders are the last choices.
-	suspected int
-	leaders   map[Group]choice
-	// split are the services whose upstreams are in groups by zone.
-	split map[string]bool
-
-	// asks and places are this VM's own, by the id that it gave them.
-	last   uint64
-	asks   map[uint64]*ask
-	places map[uint64]*Placement
-	// keptAt is when leaders were last told of all places, and reported how often
-	// each of them will be told again where there is no place any more.
-	keptAt   time.Time
-	reported map[netip.AddrPort]int
-	ticked   time.Time
-	// rest ends the calls of Tick that come while something waits; nil where they
-	// do not come.
-	rest func()
-
-	// led are the groups that this VM leads or has led, and holders the VMs that
-	// have places from it.
-	led     map[Group]*led
-	holders map[netip.AddrPort]*holder
-	// summaries are those of other groups' leaders.
-	summaries map[Group]*summary
-	summedAt  time.Time
-	// deputies are VMs that lead groups in place of others, until when.
-	deputies map[Group]map[netip.AddrPort]time.Time
-	usual    usual
-
-	out map[netip.AddrPort]*message
+	// suspectCount counts suspicions, and leaderCache holds the leader last
+	// found for each group.
+	suspectCount int
+	leaderCache  map[Group]cachedLeader
+	// splitByZone holds the services whose upstreams are grouped by zone.
+	splitByZone map[string]bool
+
+	// requests and placements are those of this VM, by the ID it assigned.
+	lastID     uint64
+	requests   map[uint64]*request
+	placements map[uint64]*Placement
+	// reportedAt is when the placements were last reported to the leaders, and
+	// reportsLeft how many more empty reports each leader gets once this VM
+	// holds no placement from it.
+	reportedAt  time.Time
+	reportsLeft map[netip.AddrPort]int
+	lastTick    time.Time
+	// stopFastTicks ends the subscription of Tick at TickInterval; nil while
+	// nothing waits.
+	stopFastTicks func()
+
+	// ledGroups are the groups that this VM leads or has led, and clients the
+	// VMs that have sent it messages, with their requests and placements.
+	ledGroups map[Group]*ledGroup
+	clients   map[netip.AddrPort]*client
+	// summaries holds the latest known load of each group.
+	summaries       map[Group]*summary
+	summariesSentAt time.Time
+	// actingLeaders holds, for each group, the VMs that lead it in place of the
+	// first-ranked one, and until when each counts as such.
+	actingLeaders map[Group]map[netip.AddrPort]time.Time
+	typicalLoad   averageLoad
+
+	outgoing map[netip.AddrPort]*message
 }
 
-// New returns the Allocator of a VM, in one run of its process.
+// New returns an Allocator for the VM me. boot identifies this run of its
+// process; later runs have larger values.
 func New(me Member, boot int64, d Deps) *Allocator {
 	a := &Allocator{
-		me: me, boot: boot, deps: d, began: d.Now(), ticked: d.Now(),
-		suspects: make(map[netip.AddrPort]suspicion), leaders: make(map[Group]choice), split: make(map[string]bool),
-		asks: make(map[uint64]*ask), places: make(map[uint64]*Placement), reported: make(map[netip.AddrPort]int),
-		led: make(map[Group]*led), holders: make(map[netip.AddrPort]*holder), summaries: make(map[Group]*summary),
-		out: make(map[netip.AddrPort]*message), deputies: make(map[Group]map[netip.AddrPort]time.Time),
+		me: me, boot: boot, deps: d, startedAt: d.Now(), lastTick: d.Now(),
+		suspects: make(map[netip.AddrPort]suspicion), leaderCache: make(map[Group]cachedLeader), splitByZone: make(map[string]bool),
+		requests: make(map[uint64]*request), placements: make(map[uint64]*Placement), reportsLeft: make(map[netip.AddrPort]int),
+		ledGroups: make(map[Group]*ledGroup), clients: make(map[netip.AddrPort]*client), summaries: make(map[Group]*summary),
+		outgoing: make(map[netip.AddrPort]*message), actingLeaders: make(map[Group]map[netip.AddrPort]time.Time),
 	}
-	d.Tracker.Listen(a.found)
-	d.Timer.Subscribe(restEvery, a.Tick)
+	d.Tracker.Listen(a.reportEvent)
+	d.Timer.Subscribe(idleTickInterval, a.Tick)
 	return a
 }
 
-// do does something under the lock and sends what came of it.
-func (a *Allocator) do(f func(now time.Time)) {
+// locked runs f with the lock held and then sends the messages that f queued.
+func (a *Allocator) locked(f func(now time.Time)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.deps.Now()
 	f(now)
 	a.flush()
-	a.wake(now)
+	a.adjustTicks(now)
 }
 
-// wake has Tick called more often while something waits.
-func (a *Allocator) wake(now time.Time) {
-	busy := len(a.asks) > 0
-	for _, l := range a.led {
+// adjustTicks subscribes Tick at TickInterval while requests wait, and ends
+// that subscription otherwise.
+func (a *Allocator) adjustTicks(now time.Time) {
+	busy := len(a.requests) > 0
+	for _, l := range a.ledGroups {
 		busy = busy || l.scheduler.Waiting() > 0
 	}
 	switch {
-	case busy && a.rest == nil:
-		a.ticked = now
-		a.rest = a.deps.Timer.Subscribe(TickInterval, a.Tick)
-	case !busy && a.rest != nil:
-		a.rest()
-		a.rest = nil
+	case busy && a.stopFastTicks == nil:
+		a.lastTick = now
+		a.stopFastTicks = a.deps.Timer.Subscribe(TickInterval, a.Tick)
+	case !busy && a.stopFastTicks != nil:
+		a.stopFastTicks()
+		a.stopFastTicks = nil
 	}
 }
 
-// to is the datagram that goes to a VM next.
-func (a *Allocator) to(at netip.AddrPort) *message {
-	m, ok := a.out[at]
+// outgoingTo returns the message that will be sent to the VM at the given
+// address at the next flush.
+func (a *Allocator) outgoingTo(at netip.AddrPort) *message {
+	m, ok := a.outgoing[at]
 	if !ok {
 		m = &message{VM: a.me.VM, Boot: a.boot}
-		a.out[at] = m
+		a.outgoing[at] = m
 	}
 	return m
 }
 
-// mostPlaces is how many places, or limits, one datagram describes: it should not be split on
-// its way.
-const mostPlaces = 12
+// maxEntries is the maximum number of placements, and of limits, in one
+// datagram, chosen so that datagrams are not fragmented on the way.
+const maxEntries = 12
 
 func (a *Allocator) flush() {
-	for at, m := range a.out {
-		for len(m.Places) > mostPlaces {
-			a.post(at, &message{VM: m.VM, Boot: m.Boot, Places: m.Places[:mostPlaces]})
-			m.Places = m.Places[mostPlaces:]
+	for at, m := range a.outgoing {
+		for len(m.Placements) > maxEntries {
+			a.transmit(at, &message{VM: m.VM, Boot: m.Boot, Placements: m.Placements[:maxEntries]})
+			m.Placements = m.Placements[maxEntries:]
 		}
-		for len(m.Limits) > mostPlaces {
-			a.post(at, &message{VM: m.VM, Boot: m.Boot, Limits: m.Limits[:mostPlaces]})
-			m.Limits = m.Limits[mostPlaces:]
+		for len(m.Limits) > maxEntries {
+			a.transmit(at, &message{VM: m.VM, Boot: m.Boot, Limits: m.Limits[:maxEntries]})
+			m.Limits = m.Limits[maxEntries:]
 		}
-		a.post(at, m)
+		a.transmit(at, m)
 	}
-	clear(a.out)
+	clear(a.outgoing)
 }
 
-func (a *Allocator) post(at netip.AddrPort, m *message) {
+func (a *Allocator) transmit(at netip.AddrPort, m *message) {
 	data, err := cbor.Marshal(m)
 	if err != nil {
-		a.deps.Log.Error().Err(err).Msg("a message to a VM was not encoded")
+		a.deps.Log.Error().Err(err).Msg("failed to encode message")
 		return
 	}
 	a.deps.Meter.Count("exchange.sent", 1)
 	a.deps.Meter.Count("exchange.bytes", int64(len(data)+1))
 	if err := a.deps.Sender.Send(at, append([]byte{DatagramType}, data...)); err != nil {
-		a.deps.Log.Debug().Str("peer", at.String()).Err(err).Msg("datagram not sent")
+		a.deps.Log.Debug().Str("peer", at.String()).Err(err).Msg("failed to send datagram")
 	}
 }
 
 func (a *Allocator) count(name string) { a.deps.Meter.Count(name, 1) }
 
-// Receive takes a datagram in. What does not come from the VM that lives at its
-// address changes nothing.
+// Receive handles a datagram. A datagram whose sender is not the live VM at
+// that address is ignored.
 func (a *Allocator) Receive(from netip.AddrPort, data []byte) {
 	if len(data) < 1 || data[0] != DatagramType {
 		return
 	}
 	var m message
 	if err := cbor.Unmarshal(data[1:], &m); err != nil {
-		a.deps.Log.Debug().Str("peer", from.String()).Err(err).Msg("datagram not understood")
+		a.deps.Log.Debug().Str("peer", from.String()).Err(err).Msg("failed to decode datagram")
 		return
 	}
-	if !a.member(from, m.VM) {
-		a.deps.Log.Debug().Str("peer", from.String()).Str("name", m.VM).Msg("datagram of no member ignored")
+	if !a.isMember(from, m.VM) {
+		a.deps.Log.Debug().Str("peer", from.String()).Str("name", m.VM).Msg("ignored datagram from non-member")
 		return
 	}
 	a.deps.Meter.Count("exchange.received", 1)
-	a.do(func(now time.Time) {
-		a.clear(now, from)
-		a.heed(now, from, &m)
-		a.answered(now, from, &m)
+	a.locked(func(now time.Time) {
+		a.clearSuspicion(now, from)
+		a.handleRequests(now, from, &m)
+		a.handleReplies(now, from, &m)
 	})
 }
 
-func (a *Allocator) member(from netip.AddrPort, vm string) bool {
+func (a *Allocator) isMember(from netip.AddrPort, vm string) bool {
 	members := a.deps.Members()
 	for i := range members {
 		if members[i].Address == from {
@@ -242,64 +254,68 @@
 	return false
 }
 
-// Tick does what is due.
+// Tick runs all periodic work.
 func (a *Allocator) Tick(time.Time) {
-	a.do(func(now time.Time) {
-		late := now.Sub(a.ticked) > mostTick
-		if now.Sub(a.ticked) > paused {
-			// What it knows as a leader is as old as that.
-			for _, l := range a.led {
-				l.usedAt, l.askedAt = time.Time{}, time.Time{}
+	a.locked(func(now time.Time) {
+		paused := now.Sub(a.lastTick) > maxTickGap
+		if now.Sub(a.lastTick) > pauseThreshold {
+			// After a pause this VM's knowledge as a leader is too old: the
+			// next use of each group collects the placements again.
+			for _, l := range a.ledGroups {
+				l.lastUsed, l.lastRemoteUse = time.Time{}, time.Time{}
 			}
 		}
-		a.ticked = now
-		a.pump()
-		a.chase(now, late)
-		a.keep(now)
-		a.forget(now)
-		a.summarise(now)
+		a.lastTick = now
+		a.dispatch()
+		a.retryRequests(now, paused)
+		a.reportPlacements(now)
+		a.expireClients(now)
+		a.sendSummaries(now)
 	})
 }
 
-// Dispatch has this VM look for places for what waits for it as a leader. It is
-// called when what is known of upstreams has changed.
-func (a *Allocator) Dispatch() { a.do(func(time.Time) { a.pump() }) }
+// Dispatch tries to place the requests that wait at this VM as a leader. It is
+// called when the state of upstreams has changed.
+func (a *Allocator) Dispatch() { a.locked(func(time.Time) { a.dispatch() }) }
 
-func (a *Allocator) pump() {
-	for _, l := range a.led {
+func (a *Allocator) dispatch() {
+	for _, l := range a.ledGroups {
 		l.scheduler.Pump()
 	}
 }
 
-// found tells leaders what this VM's requests have found out about an upstream.
-func (a *Allocator) found(e tracker.Event) {
+// reportEvent sends the leader what this VM's requests have observed at an
+// upstream.
+func (a *Allocator) reportEvent(e tracker.Event) {
 	if len(e.Upstreams) == 0 || e.Finding == tracker.FoundAnswering {
-		// That a place has begun says as much.
+		// The leader learns this from the report that the placement has
+		// started.
 		return
 	}
 	u, ok := a.deps.Tracker.Get(e.Upstreams[0])
 	if !ok {
 		return
 	}
-	a.do(func(now time.Time) {
+	a.locked(func(now time.Time) {
 		if m, self := a.leader(now, a.groupOf(u.Service, u.Zone)); !self {
-			out := a.to(m.Address)
+			out := a.outgoingTo(m.Address)
 			if e.Finding == tracker.FoundLimit {
-				out.Limits = append(out.Limits, limitOf(now, u.ID, e.Limit))
+				out.Limits = append(out.Limits, newWireLimit(now, u.ID, e.Limit))
 				return
 			}
-			out.Events = append(out.Events, wireOf(e))
+			out.Events = append(out.Events, newWireEvent(e))
 		}
 	})
 }
 
-// Drain says that this VM stops at a time. It leads nobody any more, and its own
-// requests that cannot end before are refused while they can go elsewhere.
+// Drain announces that this VM stops at the given time. It no longer leads any
+// group, and those of its own requests that cannot finish in time are refused
+// while they can still go to another VM.
 func (a *Allocator) Drain(stop time.Time) {
-	a.do(func(now time.Time) {
-		a.leaving, a.stop = true, stop
-		a.hand(now)
-		for _, o := range a.asks {
+	a.locked(func(now time.Time) {
+		a.leaving, a.stopsAt = true, stop
+		a.handOver(now)
+		for _, o := range a.requests {
 			o.call.Stop = stop
 			if o.local != nil {
 				o.local.Stop(stop)
@@ -310,41 +326,42 @@
 	})
 }
 
-// Waiting is how many of this VM's requests wait for a place.
+// Waiting returns the number of this VM's requests that wait for a placement.
 func (a *Allocator) Waiting() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.asks)
+	return len(a.requests)
 }
 
-// LedGroups is how many groups this VM leads.
+// LedGroups returns the number of groups that this VM leads.
 func (a *Allocator) LedGroups() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
-	for g := range a.led {
-		if a.leads(a.deps.Now(), g) {
+	for g := range a.ledGroups {
+		if a.isLeader(a.deps.Now(), g) {
 			n++
 		}
 	}
 	return n
 }
 
-// Forget drops what is counted of a cold upstream that is gone.
+// Forget drops the request counts of a cold or limited upstream that is gone.
 func (a *Allocator) Forget(upstream string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, l := range a.led {
+	for _, l := range a.ledGroups {
 		l.scheduler.Forget(upstream)
 	}
 }
 
-// Loads is what is under way at each upstream, as far as this VM knows as a leader.
+// Loads returns the load of each upstream, as far as this VM knows it as a
+// leader.
 func (a *Allocator) Loads() map[string]placer.Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	all := make(map[string]placer.Load)
-	for _, l := range a.led {
+	for _, l := range a.ledGroups {
 		for id, w := range l.scheduler.Work() {
 			sum := all[id]
 			sum.Add(w)
@@ -354,57 +371,59 @@
 	return all
 }
 
-// mostGroup is how many upstreams one group has at most where a service has them
-// in several zones: a leader's decision looks at each of them. Those that may get
-// nothing now count as well, and a service of which a third of the upstreams left
-// is not joined again, so that VMs agree: with groups of either kind two leaders
-// would give places at the same upstreams.
+// maxGroupSize is the number of upstreams above which a service with upstreams
+// in several zones is split into one group per zone, because a leader examines
+// every upstream of the group for each decision. Upstreams that currently may
+// not get work count as well, and a split service is merged again only below
+// minSplitSize, so not before it has lost a third of its upstreams. This makes
+// VMs agree on the grouping; if they disagreed, two leaders would allocate the
+// same upstreams.
 const (
-	mostGroup  = 60
-	leastSplit = 40
+	maxGroupSize = 60
+	minSplitSize = 40
 )
 
-// groupOf is the group of a service's upstreams in a zone.
+// groupOf returns the group of a service's upstreams in a zone.
 func (a *Allocator) groupOf(service, zone string) Group {
-	if a.split[service] {
+	if a.splitByZone[service] {
 		return Group{service, zone}
 	}
 	return Group{service, ""}
 }
 
-// sizes decides whether a service's upstreams are in groups by zone, and gives
-// how many each zone has.
-func (a *Allocator) sizes(service string) map[string]int {
+// zoneSizes decides whether a service's upstreams are grouped by zone, and
+// returns the number of its usable upstreams in each zone.
+func (a *Allocator) zoneSizes(service string) map[string]int {
 	switch listed := a.deps.Tracker.Listed(service); {
-	case listed > mostGroup:
-		a.split[service] = true
-	case listed < leastSplit && listed > 0:
-		delete(a.split, service)
+	case listed > maxGroupSize:
+		a.splitByZone[service] = true
+	case listed < minSplitSize && listed > 0:
+		delete(a.splitByZone, service)
 	}
 	return a.deps.Tracker.Sizes(service)
 }
 
-// leads says that this VM leads a group by its own view.
-func (a *Allocator) leads(now time.Time, g Group) bool {
+// isLeader reports whether this VM considers itself the leader of a group.
+func (a *Allocator) isLeader(now time.Time, g Group) bool {
 	_, self := a.leader(now, g)
 	return self
 }
 
-func (a *Allocator) schedulerOf(g Group) *led {
-	l, ok := a.led[g]
+func (a *Allocator) ledGroupOf(g Group) *ledGroup {
+	l, ok := a.ledGroups[g]
 	if !ok {
-		l = &led{group: g}
+		l = &ledGroup{group: g}
 		l.scheduler = scheduler.New(g.Zone, scheduler.Deps{
 			Tracker: a.deps.Tracker, Now: a.deps.Now,
 			ColdPart: func(upstream string, rate float64) int {
-				if a.deps.Now().Before(l.coldFrom) {
+				if a.deps.Now().Before(l.coldAllowedAt) {
 					return 0
 				}
-				return a.deps.ColdStartQuota(upstream, rate, !l.alone)
+				return a.deps.ColdStartQuota(upstream, rate, !l.localOnly)
 			},
-			LimitPart: func(rate float64) float64 { return a.limitPart(l, rate) },
+			LimitPart: func(rate float64) float64 { return a.limitShare(l, rate) },
 		})
-		a.led[g] = l
+		a.ledGroups[g] = l
 	}
 	return l
 }
--- a/entry/process/allocator/answer.go
+++ b/entry/process/allocator/answer.go
@@ -9,102 +9,104 @@
 	"github.com/heathervane/heathervane/entry/request/placer"
 )
 
-// answered takes in what leaders say.
-func (a *Allocator) answered(now time.Time, from netip.AddrPort, m *message) {
+// handleReplies handles the fields of a message that come from a leader.
+func (a *Allocator) handleReplies(now time.Time, from netip.AddrPort, m *message) {
 	for i := range m.Grants {
-		a.granted(now, from, m.VM, &m.Grants[i])
+		a.handleGrant(now, from, m.VM, &m.Grants[i])
 	}
 	for i := range m.Refusals {
 		w := &m.Refusals[i]
-		if o := a.asked(from, w.ID); o != nil {
-			delete(a.asks, o.id)
-			refusal := &scheduler.Refusal{Code: w.Code, After: time.Duration(w.After) * time.Millisecond, Waits: waitsOf(w.Waits)}
-			refusal.Waits.Add(now.Sub(o.since))
-			o.answer <- answer{refusal: refusal}
+		if o := a.requestAt(from, w.ID); o != nil {
+			delete(a.requests, o.id)
+			refusal := &scheduler.Refusal{Code: w.Code, After: time.Duration(w.After) * time.Millisecond, Waits: decodeWaits(w.Waits)}
+			refusal.Waits.Add(now.Sub(o.submitted))
+			o.outcome <- outcome{refusal: refusal}
 		}
 	}
-	for _, id := range m.Waits {
-		if o := a.asked(from, id); o != nil {
-			o.heard = now
+	for _, id := range m.Queued {
+		if o := a.requestAt(from, id); o != nil {
+			o.confirmed = now
 		}
 	}
-	for _, w := range m.Elsewhere {
-		if o := a.asked(from, w.ID); o != nil && o.hops < mostHops {
-			a.divert(now, o, w.Zone)
+	for _, w := range m.OtherZones {
+		if o := a.requestAt(from, w.ID); o != nil && o.hops < maxHops {
+			a.moveToZone(now, o, w.Zone)
 		}
 	}
-	if m.Stops {
-		a.suspect(now, from, "it stops")
+	if m.Stopping {
+		a.suspect(now, from, "leader is stopping")
 	}
-	for _, id := range m.Moved {
-		if o := a.asked(from, id); o != nil {
-			if !m.Stops {
-				a.suspect(now, from, "it does not lead")
+	for _, id := range m.NotLeading {
+		if o := a.requestAt(from, id); o != nil {
+			if !m.Stopping {
+				a.suspect(now, from, "not leading")
 			}
-			o.to = netip.AddrPort{}
+			o.leader = netip.AddrPort{}
 			a.send(now, o)
 		}
 	}
-	for _, id := range m.Again {
-		if o := a.asked(from, id); o != nil {
+	for _, id := range m.UnknownRequests {
+		if o := a.requestAt(from, id); o != nil {
 			a.send(now, o)
 		}
 	}
-	for _, id := range m.Want {
-		if p, ok := a.places[id]; ok {
-			out := a.to(from)
-			out.Places = append(out.Places, p.wire())
+	for _, id := range m.UnknownPlacements {
+		if p, ok := a.placements[id]; ok {
+			out := a.outgoingTo(from)
+			out.Placements = append(out.Placements, p.wire())
 		}
 	}
-	for _, w := range m.Collect {
+	for _, w := range m.CollectGroups {
 		g := w.group()
-		a.tell(from, g)
-		a.depute(now, g, from)
+		a.reportGroup(from, g)
+		a.addActingLeader(now, g, from)
 	}
 	for _, w := range m.Summaries {
-		a.summaries[w.Group.group()] = &summary{engines: w.Engines, free: w.Free, reading: float64(w.Reading), at: now}
+		a.summaries[w.Group.group()] = &summary{engines: w.Engines, freeSlots: w.FreeSlots, readTime: float64(w.ReadTime), at: now}
 	}
 }
 
-// asked is a request that waits at a VM; nil where it does not. A leader that
-// was paused answers what was asked of it long ago, and has been skipped.
-func (a *Allocator) asked(from netip.AddrPort, id uint64) *ask {
-	if o, ok := a.asks[id]; ok && o.to == from {
+// requestAt returns the request with the given ID if it waits at the leader
+// with the given address, and nil otherwise. A leader that was paused may
+// answer old requests that have since moved to another leader.
+func (a *Allocator) requestAt(from netip.AddrPort, id uint64) *request {
+	if o, ok := a.requests[id]; ok && o.leader == from {
 		return o
 	}
 	return nil
 }
 
-func (a *Allocator) granted(now time.Time, from netip.AddrPort, vm string, w *wireGrant) {
-	o := a.asked(from, w.ID)
+func (a *Allocator) handleGrant(now time.Time, from netip.AddrPort, vm string, w *wireGrant) {
+	o := a.requestAt(from, w.ID)
 	if o == nil {
-		if p, ok := a.places[w.ID]; !ok || p.Leader != vm {
-			// Nobody waits for it any more.
-			out := a.to(from)
-			out.Ended = append(out.Ended, w.ID)
+		if p, ok := a.placements[w.ID]; !ok || p.Leader != vm {
+			// The request no longer waits: release the placement.
+			out := a.outgoingTo(from)
+			out.Released = append(out.Released, w.ID)
 		}
 		return
 	}
-	delete(a.asks, o.id)
+	delete(a.requests, o.id)
 	p := &Placement{
-		Upstream: a.upstream(w.Main), Estimate: float64(w.Estimate), Leader: vm, Waits: waitsOf(w.Waits), from: from,
+		Upstream: a.resolveUpstream(w.Main), Estimate: float64(w.Estimate), Leader: vm, Waits: decodeWaits(w.Waits), leaderAddress: from,
 		Load: placer.Load{Streams: w.Streams, Context: w.Context, Unread: float64(w.Unread)},
 		work: scheduler.Work{
 			Prompt: o.call.Ask.Prompt, Output: o.call.Ask.Output, Pause: o.call.Ask.Pause, Read: float64(w.Read), Long: w.Long, Main: w.Main.ID,
 		},
 	}
-	p.Waits.Add(now.Sub(o.since))
-	a.usual.note(p.Load, o.call.Ask)
+	p.Waits.Add(now.Sub(o.submitted))
+	a.typicalLoad.add(p.Load, o.call.Ask)
 	for _, h := range w.Helpers {
-		p.Helpers = append(p.Helpers, scheduler.Helper{Upstream: a.upstream(h), Tokens: h.Tokens})
+		p.Helpers = append(p.Helpers, scheduler.Helper{Upstream: a.resolveUpstream(h), Tokens: h.Tokens})
 		p.work.Helpers = append(p.work.Helpers, h.ID)
 		p.work.Tokens = append(p.work.Tokens, h.Tokens)
 	}
-	a.give(now, o, p)
+	a.deliver(now, o, p)
 }
 
-// upstream is one that a leader named, by this VM's own list where that has it.
-func (a *Allocator) upstream(w wireUpstream) tracker.Upstream {
+// resolveUpstream returns the upstream named by a leader, with the details from
+// this VM's own list if it is listed there.
+func (a *Allocator) resolveUpstream(w wireUpstream) tracker.Upstream {
 	if u, ok := a.deps.Tracker.Get(w.ID); ok {
 		return u.Upstream
 	}
--- a/entry/process/allocator/asker.go
+++ b/entry/process/allocator/asker.go
@@ -11,124 +11,133 @@
 )
 
 const (
-	// resend is after how long without an answer an ask is sent again, and
-	// patience after how long its leader is skipped. An answer takes a
-	// millisecond or two, so that three were lost.
-	resend   = 20 * time.Millisecond
-	patience = 80 * time.Millisecond
-	// askEvery is how often a leader is asked whether it still knows of a request
-	// that waits there, and silence after how long without its word that it does
-	// the leader is skipped. A grant is at most so old when it is used.
-	askEvery = 100 * time.Millisecond
-	silence  = 300 * time.Millisecond
-	// mostTick is the time between two ticks above which this VM itself was
-	// paused, and not the leaders.
-	mostTick = 3 * TickInterval
-	// mostSilent is how many leaders may fail to answer before a VM decides
-	// alone, and mostSilentLong the same for a prompt that is read in parts: a
-	// place chosen without knowledge of the others' work harms many answers.
-	mostSilent     = 2
-	mostSilentLong = 4
-	// mostHops is how often a request is sent to another group.
-	mostHops = 2
-	// aloneFor is how long a request waits that this VM decides on for want of a
-	// leader before it looks for one again.
-	aloneFor = 500 * time.Millisecond
-	// comeBack is when a request may come back whose time was over here.
-	comeBack = 500 * time.Millisecond
+	// resendInterval is the time without an answer after which a request is
+	// sent again, and replyTimeout the time after which its leader is skipped.
+	// An answer normally takes a millisecond or two, so by the time of
+	// replyTimeout three have been lost.
+	resendInterval = 20 * time.Millisecond
+	replyTimeout   = 80 * time.Millisecond
+	// confirmInterval is how often a leader is asked to confirm that it still
+	// holds a waiting request, and confirmTimeout the time without a
+	// confirmation after which the leader is skipped. A grant is therefore at
+	// most confirmTimeout old when it is used.
+	confirmInterval = 100 * time.Millisecond
+	confirmTimeout  = 300 * time.Millisecond
+	// maxTickGap is the time between two ticks above which this VM itself,
+	// rather than the leaders, is considered to have been paused.
+	maxTickGap = 3 * TickInterval
+	// maxSilentLeaders is the number of leaders that may fail to answer before
+	// a VM decides alone. maxSilentLeadersLong is the same for a prompt that
+	// several engines read in parts, because placing such a prompt without
+	// knowing the other VMs' load slows many responses.
+	maxSilentLeaders     = 2
+	maxSilentLeadersLong = 4
+	// maxHops is how often a request may be moved to another group.
+	maxHops = 2
+	// localRetryInterval is how long a request that was scheduled locally for
+	// want of a leader waits before it is sent to a leader again.
+	localRetryInterval = 500 * time.Millisecond
+	// retryAfter is the delay after which a caller may retry a request that
+	// could not be placed in time.
+	retryAfter = 500 * time.Millisecond
 )
 
-// An ask is a request of this VM that waits for a place.
-type ask struct {
+// A request is an allocation request of this VM that waits for a placement.
+type request struct {
 	id    uint64
 	call  scheduler.Call
 	group Group
-	// hops is how often it was sent to another group, silent how many leaders
-	// have not answered it.
-	hops, silent int
-	// to is the leader that it was sent to; local is set where that is this VM.
-	to    netip.AddrPort
-	local *scheduler.Asked
-	since time.Time
-	// first and sent are when it was sent to this leader, first and last, heard
-	// when that has last said that it waits there.
-	first, sent, heard time.Time
-	answer             chan answer
+	// hops counts the moves to another group, silentLeaders the leaders that
+	// did not answer this request.
+	hops, silentLeaders int
+	// leader is the address of the leader to which the request was sent; local
+	// is set if this VM schedules it itself.
+	leader    netip.AddrPort
+	local     *scheduler.Asked
+	submitted time.Time
+	// firstSent and lastSent are when the request was first and last sent to
+	// this leader; confirmed is when the leader last confirmed that it waits
+	// there.
+	firstSent, lastSent, confirmed time.Time
+	outcome                        chan outcome
 }
 
-type answer struct {
-	place   *Placement
-	refusal *scheduler.Refusal
+type outcome struct {
+	placement *Placement
+	refusal   *scheduler.Refusal
 }
 
-// Acquire waits for a place, or for the word that there will be none in time.
+// Acquire waits until the call is granted a placement or refused. It withdraws
+// the call if ctx is done first.
 func (a *Allocator) Acquire(ctx context.Context, c scheduler.Call) (*Placement, *scheduler.Refusal) {
 	o := a.Submit(c)
 	select {
-	case r := <-o.ask.answer:
-		return r.place, r.refusal
+	case r := <-o.request.outcome:
+		return r.placement, r.refusal
 	case <-ctx.Done():
 		return nil, o.Cancel()
 	}
 }
 
-// An Pending is a request for a place that may still wait.
+// Pending is a request that may still wait for a placement.
 type Pending struct {
 	allocator *Allocator
-	ask       *ask
+	request   *request
 }
 
-// Submit asks for a place without waiting for it.
+// Submit requests a placement without waiting for it.
 func (a *Allocator) Submit(c scheduler.Call) *Pending {
-	o := &ask{call: c, answer: make(chan answer, 1)}
-	a.do(func(now time.Time) {
-		a.last++
-		o.id, o.since = a.last, now
-		o.call.Zone, o.call.Stop = a.me.Zone, a.stop
+	o := &request{call: c, outcome: make(chan outcome, 1)}
+	a.locked(func(now time.Time) {
+		a.lastID++
+		o.id, o.submitted = a.lastID, now
+		o.call.Zone, o.call.Stop = a.me.Zone, a.stopsAt
 		o.call.Avoid = a.deps.Tracker.Silent(now)
-		o.group = a.choose(c.Service.Name, a.me.Zone)
-		a.asks[o.id] = o
+		o.group = a.initialGroup(c.Service.Name, a.me.Zone)
+		a.requests[o.id] = o
 		a.send(now, o)
 	})
 	return &Pending{a, o}
 }
 
-// Poll gives the place or the refusal, once, and neither while it waits.
+// Poll returns the placement or the refusal, once; before and after that it
+// returns nil for both.
 func (o *Pending) Poll() (*Placement, *scheduler.Refusal) {
 	select {
-	case r := <-o.ask.answer:
-		return r.place, r.refusal
+	case r := <-o.request.outcome:
+		return r.placement, r.refusal
 	default:
 		return nil, nil
 	}
 }
 
-// Cancel takes the request back: its caller has gone, or its time is over.
+// Cancel withdraws the request because its caller has gone or its time is over.
 func (o *Pending) Cancel() *scheduler.Refusal {
 	a := o.allocator
-	refusal := &scheduler.Refusal{Code: scheduler.Late, After: comeBack}
-	a.do(func(now time.Time) {
-		if _, ok := a.asks[o.ask.id]; ok {
-			refusal.Waits = a.withdraw(o.ask)
-			refusal.Waits.Add(now.Sub(o.ask.since))
-			delete(a.asks, o.ask.id)
+	refusal := &scheduler.Refusal{Code: scheduler.Late, After: retryAfter}
+	a.locked(func(now time.Time) {
+		if _, ok := a.requests[o.request.id]; ok {
+			refusal.Waits = a.withdraw(o.request)
+			refusal.Waits.Add(now.Sub(o.request.submitted))
+			delete(a.requests, o.request.id)
 		}
 	})
 	select {
-	case r := <-o.ask.answer:
-		// It was given a place in the moment it left.
-		if r.place != nil {
-			r.place.Release()
+	case r := <-o.request.outcome:
+		// The request was granted a placement just before it was cancelled.
+		if r.placement != nil {
+			r.placement.Release()
 		}
 	default:
 	}
 	return refusal
 }
 
-// choose is the group that a request is asked for in first: that of its VM's zone,
-// or of another one where it has no upstreams there.
-func (a *Allocator) choose(service, zone string) Group {
-	sizes := a.sizes(service)
+// initialGroup returns the group to which a request is first sent: that of this
+// VM's zone or, if the service has no usable upstreams there, that of the zone
+// with the most.
+func (a *Allocator) initialGroup(service, zone string) Group {
+	sizes := a.zoneSizes(service)
 	g := a.groupOf(service, zone)
 	if g.Zone == "" || sizes[g.Zone] > 0 || len(sizes) == 0 {
 		return g
@@ -143,167 +152,171 @@
 }
 
 // send sends a request to the leader of its group.
-func (a *Allocator) send(now time.Time, o *ask) {
+func (a *Allocator) send(now time.Time, o *request) {
 	m, self := a.leader(now, o.group)
-	if self || o.silent >= o.mostSilent() || a.deps.Tracker.Outdated() {
-		a.decide(now, o)
+	if self || o.silentLeaders >= o.maxSilent() || a.deps.Tracker.Outdated() {
+		a.scheduleLocally(now, o)
 		return
 	}
-	if o.to != m.Address {
-		o.to, o.first, o.heard = m.Address, now, time.Time{}
+	if o.leader != m.Address {
+		o.leader, o.firstSent, o.confirmed = m.Address, now, time.Time{}
 	}
-	if a.reported[m.Address] == 0 {
-		// Who has not led before learns with the ask what this VM has there.
-		a.reported[m.Address] = lastReports
-		a.tell(m.Address, o.group)
+	if a.reportsLeft[m.Address] == 0 {
+		// A leader that had no report from this VM needs to know what this VM
+		// already holds in the group.
+		a.reportsLeft[m.Address] = emptyReports
+		a.reportGroup(m.Address, o.group)
 	}
-	o.sent = now
-	out := a.to(m.Address)
-	out.Asks = append(out.Asks, o.wire(now))
+	o.lastSent = now
+	out := a.outgoingTo(m.Address)
+	out.Requests = append(out.Requests, o.wire(now))
 }
 
-func (o *ask) mostSilent() int {
+func (o *request) maxSilent() int {
 	if e := o.call.Service.Engine; e != nil && !placer.Short(e, o.call.Ask.Prompt) {
-		return mostSilentLong
+		return maxSilentLeadersLong
 	}
-	return mostSilent
+	return maxSilentLeaders
 }
 
-// decide has this VM look for a place for its own request.
-func (a *Allocator) decide(now time.Time, o *ask) {
+// scheduleLocally schedules a request of this VM on this VM.
+func (a *Allocator) scheduleLocally(now time.Time, o *request) {
 	l := a.lead(now, o.group, false)
-	l.alone = !a.ranksHigh(o.group)
-	o.to, o.first = netip.AddrPort{}, now
-	asked := l.scheduler.Ask(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
-		if _, ok := a.asks[o.id]; !ok {
+	l.localOnly = !a.isLeaderOrBackup(o.group)
+	o.leader, o.firstSent = netip.AddrPort{}, now
+	queued := l.scheduler.Ask(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
+		if _, ok := a.requests[o.id]; !ok {
 			if g != nil {
 				g.Done()
 			}
 			return
 		}
 		if r != nil && r.Code == scheduler.None {
-			if zone, ok := a.better(now, l, o.call, o.hops); ok {
-				a.divert(a.deps.Now(), o, zone)
+			if zone, ok := a.betterZone(now, l, o.call, o.hops); ok {
+				a.moveToZone(a.deps.Now(), o, zone)
 				return
 			}
 		}
-		delete(a.asks, o.id)
+		delete(a.requests, o.id)
 		if g == nil {
-			o.answer <- answer{refusal: r}
+			o.outcome <- outcome{refusal: r}
 			return
 		}
-		a.give(now, o, &Placement{
+		a.deliver(now, o, &Placement{
 			Upstream: g.Upstream.Upstream, Helpers: g.Helpers, Estimate: g.Estimate, Load: g.Load, Waits: g.Waits,
 			work: g.Work, grant: g,
 		})
 	})
-	if _, waits := a.asks[o.id]; !waits || o.to.IsValid() || o.local != nil {
-		// It has its answer, or was sent on.
+	if _, waits := a.requests[o.id]; !waits || o.leader.IsValid() || o.local != nil {
+		// The request was already answered or sent elsewhere.
 		return
 	}
-	o.local = asked
-	if zone, ok := a.better(now, l, o.call, o.hops); ok {
-		a.divert(now, o, zone)
+	o.local = queued
+	if zone, ok := a.betterZone(now, l, o.call, o.hops); ok {
+		a.moveToZone(now, o, zone)
 	}
 }
 
-// divert asks for a place in the group of another zone.
-func (a *Allocator) divert(now time.Time, o *ask, zone string) {
+// moveToZone moves a request to the group of another zone.
+func (a *Allocator) moveToZone(now time.Time, o *request, zone string) {
 	a.withdraw(o)
 	o.hops++
 	if o.group.Zone == "" {
-		// Whoever led knows more upstreams than this VM, and that there are groups.
-		a.split[o.group.Service] = true
+		// The leader lists more upstreams than this VM and already splits the
+		// service by zone.
+		a.splitByZone[o.group.Service] = true
 	}
 	o.group.Zone = zone
-	o.to = netip.AddrPort{}
+	o.leader = netip.AddrPort{}
 	a.send(now, o)
 }
 
-func (a *Allocator) give(now time.Time, o *ask, p *Placement) {
+func (a *Allocator) deliver(now time.Time, o *request, p *Placement) {
 	p.allocator, p.id, p.group = a, o.id, o.group
-	a.places[p.id] = p
-	for _, at := range a.countedBy(now, p.group) {
-		// While leaders change, or where two lead, whoever did not give the place would
-		// take its upstreams for idle.
-		if at != p.from {
-			out := a.to(at)
-			out.Places = append(out.Places, p.wire())
+	a.placements[p.id] = p
+	for _, at := range a.leadersOf(now, p.group) {
+		// While the leader changes, or while there are two, a leader that did
+		// not grant this placement would consider its upstreams idle.
+		if at != p.leaderAddress {
+			out := a.outgoingTo(at)
+			out.Placements = append(out.Placements, p.wire())
 		}
 	}
-	o.answer <- answer{place: p}
+	o.outcome <- outcome{placement: p}
 }
 
-// withdraw takes a request back from whoever was asked.
-func (a *Allocator) withdraw(o *ask) (w scheduler.Waits) {
+// withdraw cancels a request at the leader or the local scheduler where it
+// waits.
+func (a *Allocator) withdraw(o *request) (w scheduler.Waits) {
 	if o.local != nil {
 		w = o.local.Leave()
 		o.local = nil
 		return w
 	}
-	if o.to.IsValid() {
-		out := a.to(o.to)
-		out.Left = append(out.Left, o.id)
+	if o.leader.IsValid() {
+		out := a.outgoingTo(o.leader)
+		out.Cancelled = append(out.Cancelled, o.id)
 	}
 	return w
 }
 
-// move sends a request to whoever leads its group now.
-func (a *Allocator) move(now time.Time, o *ask) {
+// moveToLeader withdraws a request and sends it to the current leader of its
+// group.
+func (a *Allocator) moveToLeader(now time.Time, o *request) {
 	a.withdraw(o)
-	o.to = netip.AddrPort{}
+	o.leader = netip.AddrPort{}
 	a.send(now, o)
 }
 
-// chase sends again what was not answered, and skips leaders that are
-// silent. After a pause of this VM itself it waits once more.
-func (a *Allocator) chase(now time.Time, late bool) {
-	for _, id := range a.open() {
-		o, ok := a.asks[id]
+// retryRequests resends unanswered requests and skips leaders that do not
+// answer. If this VM itself was paused, the leaders get another chance first.
+func (a *Allocator) retryRequests(now time.Time, paused bool) {
+	for _, id := range a.requestIDs() {
+		o, ok := a.requests[id]
 		switch {
 		case !ok:
 		case o.local != nil:
-			if _, self := a.leader(now, o.group); !self && now.Sub(o.first) >= aloneFor {
-				o.silent = 0
-				a.move(now, o)
+			if _, self := a.leader(now, o.group); !self && now.Sub(o.firstSent) >= localRetryInterval {
+				o.silentLeaders = 0
+				a.moveToLeader(now, o)
 			}
-		case !o.to.IsValid():
+		case !o.leader.IsValid():
 			a.send(now, o)
-		case late:
-			o.first, o.heard = now, laterOf(o.heard, now)
+		case paused:
+			o.firstSent, o.confirmed = now, advanceIfSet(o.confirmed, now)
 			a.send(now, o)
-		case o.heard.IsZero() && now.Sub(o.first) >= patience, !o.heard.IsZero() && now.Sub(o.heard) >= silence:
-			o.silent++
-			if now.After(a.suspects[o.to].until) {
-				a.suspect(now, o.to, "no answer")
+		case o.confirmed.IsZero() && now.Sub(o.firstSent) >= replyTimeout, !o.confirmed.IsZero() && now.Sub(o.confirmed) >= confirmTimeout:
+			o.silentLeaders++
+			if now.After(a.suspects[o.leader].until) {
+				a.suspect(now, o.leader, "no answer")
 			}
-			a.move(now, o)
-		case o.heard.IsZero() && now.Sub(o.sent) >= resend:
+			a.moveToLeader(now, o)
+		case o.confirmed.IsZero() && now.Sub(o.lastSent) >= resendInterval:
 			a.send(now, o)
-		case !o.heard.IsZero() && now.Sub(o.sent) >= askEvery:
-			if m, self := a.leader(now, o.group); self || (m.Address != o.to && !a.isSuspect(m.Address)) {
-				a.move(now, o)
+		case !o.confirmed.IsZero() && now.Sub(o.lastSent) >= confirmInterval:
+			if m, self := a.leader(now, o.group); self || (m.Address != o.leader && !a.isSuspect(m.Address)) {
+				a.moveToLeader(now, o)
 				continue
 			}
-			o.sent = now
-			out := a.to(o.to)
-			out.Still = append(out.Still, o.id)
+			o.lastSent = now
+			out := a.outgoingTo(o.leader)
+			out.StillWaiting = append(out.StillWaiting, o.id)
 		}
 	}
 }
 
-// laterOf is a later time in place of one that is known.
-func laterOf(at, now time.Time) time.Time {
+// advanceIfSet returns now, or the zero time if at is zero.
+func advanceIfSet(at, now time.Time) time.Time {
 	if at.IsZero() {
 		return at
 	}
 	return now
 }
 
-// open are the ids of this VM's requests that wait, in their order.
-func (a *Allocator) open() []uint64 {
-	ids := make([]uint64, 0, len(a.asks))
-	for id := range a.asks {
+// requestIDs returns the IDs of this VM's waiting requests in ascending order.
+func (a *Allocator) requestIDs() []uint64 {
+	ids := make([]uint64, 0, len(a.requests))
+	for id := range a.requests {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
--- a/entry/process/allocator/bench_test.go
+++ b/entry/process/allocator/bench_test.go
@@ -13,16 +13,16 @@
 	"github.com/heathervane/heathervane/entry/version/matcher"
 )
 
-// nothing is a network and a clock that do nothing.
-type nothing struct{}
+// noop is a network, a clock and a meter that do nothing.
+type noop struct{}
 
-func (nothing) Send(netip.AddrPort, []byte) error                      { return nil }
-func (nothing) Subscribe(time.Duration, func(time.Time)) (stop func()) { return func() {} }
-func (nothing) Count(string, int64)                                    {}
+func (noop) Send(netip.AddrPort, []byte) error                      { return nil }
+func (noop) Subscribe(time.Duration, func(time.Time)) (stop func()) { return func() {} }
+func (noop) Count(string, int64)                                    {}
 
-// BenchmarkAsk is a request that a VM asks a leader for and takes back, before a
-// fleet of many VMs.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkSubmit measures requests that a VM sends to a leader and cancels,
+// with fleets of different sizes.
+func BenchmarkSubmit(b *testing.B) {
 	for _, vms := range []int{7, 67, 330} {
 		b.Run(strconv.Itoa(vms), func(b *testing.B) {
 			n := &network{t: b, now: time.Unix(1_000_000, 0)}
@@ -35,7 +35,7 @@
 			known := tracker.New()
 			known.Put(n.now, tracker.Upstream{ID: "u", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 2})
 			a := allocator.New(allocator.Member{VM: "me", Zone: "z", Cores: 1}, 1, allocator.Deps{
-				Tracker: known, Sender: nothing{}, Timer: nothing{}, Meter: nothing{},
+				Tracker: known, Sender: noop{}, Timer: noop{}, Meter: noop{},
 				Members:        func() []allocator.Member { return members },
 				Service:        func(string) (*matcher.Service, bool) { return service, true },
 				ColdStartQuota: func(string, float64, bool) int { return 0 },
@@ -44,7 +44,7 @@
 			b.ReportAllocs()
 			for range b.N {
 				if a.Submit(n.call()).Cancel() == nil {
-					b.Fatal("it had an answer")
+					b.Fatal("cancelling returned no refusal")
 				}
 			}
 		})
--- a/entry/process/allocator/leader.go
+++ b/entry/process/allocator/leader.go
@@ -10,54 +10,59 @@
 )
 
 const (
-	// idle is after how long without another VM's ask a leader no longer knows what
-	// others may have allocated meanwhile, and learning how long it then waits for
-	// the VMs' word.
-	idle     = time.Second
-	learning = 30 * time.Millisecond
-	// newLeader is for how long whoever begins to lead places nothing at
-	// upstreams in cold start: another one may have placed there as many as they
-	// bear in this second.
-	newLeader = 1500 * time.Millisecond
-	// starting is how long a new process takes at most to have the configuration and
-	// the list, where any VM or the platform answers.
-	starting = 300 * time.Millisecond
-	// lost is after how long without a word a VM's places count as free, and its
-	// asks as left.
-	lost     = 1500 * time.Millisecond
-	lostAsks = 4 * askEvery
-	// underWay is how old a place must be for a VM to know of it.
-	underWay = 300 * time.Millisecond
+	// leaderIdleTimeout is the time without a request from another VM after
+	// which a leader no longer knows what the others may have allocated in the
+	// meantime. collectTimeout is how long it then waits for the VMs' reports.
+	leaderIdleTimeout = time.Second
+	collectTimeout    = 30 * time.Millisecond
+	// coldStartDelay is how long a new leader places nothing at upstreams in
+	// cold start: the previous leader may have used up their quota for the
+	// current second.
+	coldStartDelay = 1500 * time.Millisecond
+	// startupGrace is the maximum time that a new process needs to obtain the
+	// configuration and the list of upstreams while any VM or the platform
+	// answers.
+	startupGrace = 300 * time.Millisecond
+	// clientTimeout is the time without a message after which a VM's placements
+	// are released, and requestTimeout the time without a confirmation request
+	// after which one of its requests is cancelled.
+	clientTimeout  = 1500 * time.Millisecond
+	requestTimeout = 4 * confirmInterval
+	// reportDelay is how long a VM may take to learn of a placement that it was
+	// granted; younger placements may be missing from its reports.
+	reportDelay = 300 * time.Millisecond
 )
 
-// A led is a group that this VM leads or has led.
-type led struct {
+// A ledGroup is a group that this VM leads or has led.
+type ledGroup struct {
 	group     Group
 	scheduler *scheduler.Scheduler
-	// usedAt is when it was last asked, and askedAt when by another VM.
-	usedAt, askedAt time.Time
-	// toldAt is when all VMs were last told that this one leads.
-	toldAt time.Time
-	// alone says that it is used for this VM's own requests only, as no leader
-	// answers it.
-	alone    bool
-	coldFrom time.Time
-	// awaited are the VMs whose word on what they have it still waits for.
+	// lastUsed is when the group was last used, and lastRemoteUse when it was
+	// last used for another VM.
+	lastUsed, lastRemoteUse time.Time
+	// announcedAt is when this VM last announced to all others that it leads
+	// the group.
+	announcedAt time.Time
+	// localOnly is set if the group is used only for this VM's own requests,
+	// because no leader answers them.
+	localOnly     bool
+	coldAllowedAt time.Time
+	// awaited are the VMs whose reports on their placements are still missing.
 	awaited map[netip.AddrPort]bool
 }
 
-// await has nothing placed until all VMs have told what they have, or for as long
-// as that takes where none is lost.
-func (l *led) await(now time.Time, members []Member) {
+// awaitReports suspends placement until all members have reported their
+// placements, or until collectTimeout in case a report is lost.
+func (l *ledGroup) awaitReports(now time.Time, members []Member) {
 	l.awaited = make(map[netip.AddrPort]bool, len(members))
 	for i := range members {
 		l.awaited[members[i].Address] = true
 	}
-	l.scheduler.Hold(now.Add(learning))
+	l.scheduler.Hold(now.Add(collectTimeout))
 }
 
-// collected notes a VM's word. With the last one places are given again.
-func (l *led) collected(now time.Time, from netip.AddrPort) {
+// reportReceived records a VM's report. After the last one, placement resumes.
+func (l *ledGroup) reportReceived(now time.Time, from netip.AddrPort) {
 	if !l.awaited[from] {
 		return
 	}
@@ -68,102 +73,111 @@
 	}
 }
 
-// A holder is a VM that asks this one.
-type holder struct {
-	vm    string
-	boot  int64
-	heard time.Time
-	asks  map[uint64]*remote
-	holds map[uint64]*held
-	// ended are places that it has reported as free, and when: reports that were on
-	// their way before may still come.
-	ended map[uint64]time.Time
+// A client is a VM that has sent this one a message, with the requests and
+// placements of that VM.
+type client struct {
+	vm         string
+	boot       int64
+	heard      time.Time
+	requests   map[uint64]*remoteRequest
+	placements map[uint64]*heldPlacement
+	// released holds the placements that the VM has reported as released, and
+	// when. Reports that were sent earlier and still list them may arrive
+	// later.
+	released map[uint64]time.Time
 }
 
-// A remote is another VM's request that waits here.
-type remote struct {
-	led   *led
-	call  scheduler.Call
-	hops  int
-	asked *scheduler.Asked
-	heard time.Time
-	done  bool
+// A remoteRequest is a request of another VM that waits here.
+type remoteRequest struct {
+	group  *ledGroup
+	call   scheduler.Call
+	hops   int
+	queued *scheduler.Asked
+	heard  time.Time
+	done   bool
 }
 
-// A held is a place that another VM has.
-type held struct {
-	grant *scheduler.Grant
-	at    time.Time
-	// answer is what it was told; nil where another leader gave the place.
-	answer *wireGrant
+// A heldPlacement is a placement that another VM holds.
+type heldPlacement struct {
+	grant     *scheduler.Grant
+	countedAt time.Time
+	// sentGrant is the grant as sent to the VM; nil if another leader granted
+	// the placement.
+	sentGrant *wireGrant
 }
 
-// lead notes that this VM is asked for places in a group, by another VM or itself.
-// One that begins to lead first has all VMs tell what they have there, and one that
-// is not the first by its own view has them go on telling it.
-func (a *Allocator) lead(now time.Time, g Group, byAnother bool) *led {
-	l := a.schedulerOf(g)
-	begins := now.Sub(l.usedAt) > idle || (byAnother && now.Sub(l.askedAt) > idle)
-	l.usedAt = now
-	if byAnother {
-		l.askedAt = now
-	}
-	if begins {
-		a.deps.Log.Info().Str("service", g.Service).Str("zone", g.Zone).Bool("others", byAnother).Msg("group led by this VM")
+// lead records that this VM is asked for placements in a group, by itself or by
+// another VM. When it starts leading, it first collects all VMs' placements in
+// the group. A VM that does not consider itself the rightful leader repeats the
+// announcement, so that the others keep reporting to it.
+func (a *Allocator) lead(now time.Time, g Group, remote bool) *ledGroup {
+	l := a.ledGroupOf(g)
+	starts := now.Sub(l.lastUsed) > leaderIdleTimeout || (remote && now.Sub(l.lastRemoteUse) > leaderIdleTimeout)
+	l.lastUsed = now
+	if remote {
+		l.lastRemoteUse = now
+	}
+	if starts {
+		a.deps.Log.Info().Str("service", g.Service).Str("zone", g.Zone).Bool("others", remote).Msg("started leading group")
 		a.count("groups.led")
 		if len(a.deps.Members()) > 0 {
-			l.await(now, a.deps.Members())
-			l.coldFrom = now.Add(newLeader)
+			l.awaitReports(now, a.deps.Members())
+			l.coldAllowedAt = now.Add(coldStartDelay)
 		}
-		for _, p := range a.places {
+		for _, p := range a.placements {
 			if p.group == g {
 				a.adopt(p)
 			}
 		}
 	}
-	// Were each VM to ask all others that decides alone, a fleet that has lost its
-	// leaders would drown in it.
-	collects := byAnother || a.ranksHigh(g)
-	if collects && (begins || (now.Sub(l.toldAt) > tellAgain && !a.leads(now, g))) {
-		l.toldAt = now
+	// If every VM that decides alone asked all others, the messages would
+	// overload a fleet that has lost its leaders.
+	announces := remote || a.isLeaderOrBackup(g)
+	if announces && (starts || (now.Sub(l.announcedAt) > announceInterval && !a.isLeader(now, g))) {
+		l.announcedAt = now
 		members := a.deps.Members()
 		for i := range members {
-			out := a.to(members[i].Address)
-			out.Collect = append(out.Collect, g.wire())
+			out := a.outgoingTo(members[i].Address)
+			out.CollectGroups = append(out.CollectGroups, g.wire())
 		}
 	}
-	l.scheduler.Assume(a.unknownLoad(now, l))
+	l.scheduler.Assume(a.unreportedLoad(now, l))
 	return l
 }
 
-// tellAgain is how often a VM that leads in place of another says so.
-const tellAgain = 2 * time.Second
+// announceInterval is how often a VM that leads in place of another announces
+// it.
+const announceInterval = 2 * time.Second
 
-// unknownLoad is what other VMs may have at each upstream that nobody has told.
-// A leader that is cut from the others would take all engines for idle, and read
-// each long prompt at many of them, under everybody's answers.
-func (a *Allocator) unknownLoad(now time.Time, l *led) placer.Load {
-	if len(a.deps.Members()) == 0 || now.Sub(l.askedAt) <= idle {
+// unreportedLoad returns the load to assume at each upstream for placements of
+// other VMs that were not reported. Without it, a leader that is cut off from
+// the others would consider all engines idle, and spread each long prompt over
+// many of them, slowing all responses there.
+func (a *Allocator) unreportedLoad(now time.Time, l *ledGroup) placer.Load {
+	if len(a.deps.Members()) == 0 || now.Sub(l.lastRemoteUse) <= leaderIdleTimeout {
 		return placer.Load{}
 	}
-	return a.usual.load()
+	return a.typicalLoad.load()
 }
 
-// adopt counts a place of this VM's own that another leader gave.
+// adopt makes the local scheduler count a placement of this VM that another
+// leader granted.
 func (a *Allocator) adopt(p *Placement) {
 	if p.grant == nil {
-		p.grant = a.schedulerOf(p.group).scheduler.Adopt(p.work, p.began)
+		p.grant = a.ledGroupOf(p.group).scheduler.Adopt(p.work, p.started)
 	}
 }
 
-// ranksHigh says that this VM leads a group, or would if its first leader died.
-func (a *Allocator) ranksHigh(g Group) bool {
-	const standBy = 1
-	return a.before(g) <= standBy
+// isLeaderOrBackup reports whether this VM leads a group, or would if the
+// first-ranked VM failed.
+func (a *Allocator) isLeaderOrBackup(g Group) bool {
+	const backups = 1
+	return a.rankIn(g) <= backups
 }
 
-// before is how many VMs that can be heard would lead a group rather than this one.
-func (a *Allocator) before(g Group) int {
+// rankIn returns the number of reachable VMs that rank before this one in a
+// group.
+func (a *Allocator) rankIn(g Group) int {
 	me, n := a.self(), 0
 	members := a.deps.Members()
 	for i := range members {
@@ -174,17 +188,18 @@
 	return n
 }
 
-// holderOf is what is known of a VM. One that has started again has nothing left
-// of before.
-func (a *Allocator) holderOf(now time.Time, from netip.AddrPort, m *message) *holder {
-	h, ok := a.holders[from]
+// clientOf returns the state of the VM that sent m, or nil if the message is
+// from an earlier run of its process. If the process has restarted, everything
+// that its earlier run held is released.
+func (a *Allocator) clientOf(now time.Time, from netip.AddrPort, m *message) *client {
+	h, ok := a.clients[from]
 	if ok && (h.vm != m.VM || m.Boot > h.boot) {
-		a.free(h)
+		a.releaseAll(h)
 		ok = false
 	}
 	if !ok {
-		h = &holder{vm: m.VM, boot: m.Boot, asks: make(map[uint64]*remote), holds: make(map[uint64]*held), ended: make(map[uint64]time.Time)}
-		a.holders[from] = h
+		h = &client{vm: m.VM, boot: m.Boot, requests: make(map[uint64]*remoteRequest), placements: make(map[uint64]*heldPlacement), released: make(map[uint64]time.Time)}
+		a.clients[from] = h
 	}
 	if m.Boot < h.boot {
 		return nil
@@ -193,170 +208,174 @@
 	return h
 }
 
-// free gives back all that a VM has.
-func (a *Allocator) free(h *holder) {
-	for id, o := range h.asks {
-		a.drop(h, id, o)
-	}
-	holds := h.holds
-	h.holds = make(map[uint64]*held)
-	for _, p := range holds {
+// releaseAll cancels all requests and releases all placements of a VM.
+func (a *Allocator) releaseAll(h *client) {
+	for id, o := range h.requests {
+		a.cancelRequest(h, id, o)
+	}
+	placements := h.placements
+	h.placements = make(map[uint64]*heldPlacement)
+	for _, p := range placements {
 		p.grant.Done()
 	}
 }
 
-// drop takes an ask back.
-func (a *Allocator) drop(h *holder, id uint64, o *remote) {
-	delete(h.asks, id)
+// cancelRequest removes a request of another VM.
+func (a *Allocator) cancelRequest(h *client, id uint64, o *remoteRequest) {
+	delete(h.requests, id)
 	o.done = true
-	o.asked.Leave()
+	o.queued.Leave()
 }
 
-// heed takes in what a VM says that asks.
-func (a *Allocator) heed(now time.Time, from netip.AddrPort, m *message) {
-	h := a.holderOf(now, from, m)
+// handleRequests handles the fields of a message that are addressed to a
+// leader.
+func (a *Allocator) handleRequests(now time.Time, from netip.AddrPort, m *message) {
+	h := a.clientOf(now, from, m)
 	if h == nil {
 		return
 	}
 	for i := range m.Events {
 		a.deps.Tracker.Learn(now, m.Events[i].event())
 	}
-	a.learnLimits(now, m.Limits)
-	for _, id := range m.Left {
-		if o, ok := h.asks[id]; ok {
-			a.drop(h, id, o)
+	a.applyLimits(now, m.Limits)
+	for _, id := range m.Cancelled {
+		if o, ok := h.requests[id]; ok {
+			a.cancelRequest(h, id, o)
 		}
 	}
-	for _, id := range m.Began {
-		if p, ok := h.holds[id]; ok {
+	for _, id := range m.Started {
+		if p, ok := h.placements[id]; ok {
 			p.grant.Began()
 			a.deps.Tracker.Learn(now, tracker.Event{Finding: tracker.FoundAnswering, Upstreams: []string{p.grant.Work.Main}})
 		}
 	}
-	for _, id := range m.Ended {
-		h.ended[id] = now
-		if p, ok := h.holds[id]; ok {
-			delete(h.holds, id)
+	for _, id := range m.Released {
+		h.released[id] = now
+		if p, ok := h.placements[id]; ok {
+			delete(h.placements, id)
 			p.grant.Done()
 		}
 	}
-	for i := range m.Places {
-		w := &m.Places[i]
-		if o, ok := h.asks[w.ID]; ok {
-			// Another leader has given it a place, and the word that it does not wait any
-			// more is lost or late. A second place for it would hide this one.
-			a.drop(h, w.ID, o)
+	for i := range m.Placements {
+		w := &m.Placements[i]
+		if o, ok := h.requests[w.ID]; ok {
+			// Another leader has granted this request a placement, and the
+			// message that it no longer waits here is lost or late. A second
+			// placement with the same ID would replace this one and never be
+			// released.
+			a.cancelRequest(h, w.ID, o)
 		}
-		_, ended := h.ended[w.ID]
-		if _, ok := h.holds[w.ID]; !ok && !ended {
-			h.holds[w.ID] = &held{grant: a.schedulerOf(w.Group.group()).scheduler.Adopt(w.work(), w.Began), at: now}
+		_, released := h.released[w.ID]
+		if _, ok := h.placements[w.ID]; !ok && !released {
+			h.placements[w.ID] = &heldPlacement{grant: a.ledGroupOf(w.Group.group()).scheduler.Adopt(w.work(), w.Started), countedAt: now}
 		}
 	}
-	for _, w := range m.Told {
-		if l, ok := a.led[w.group()]; ok {
-			l.collected(now, from)
+	for _, w := range m.ReportedGroups {
+		if l, ok := a.ledGroups[w.group()]; ok {
+			l.reportReceived(now, from)
 		}
 	}
-	if m.Whole {
-		a.compare(now, from, h, m.Kept)
+	if m.HeldComplete {
+		a.reconcile(now, from, h, m.Held)
 	}
-	for _, id := range m.Still {
-		out := a.to(from)
-		if o, ok := h.asks[id]; ok {
+	for _, id := range m.StillWaiting {
+		out := a.outgoingTo(from)
+		if o, ok := h.requests[id]; ok {
 			o.heard = now
-			out.Waits = append(out.Waits, id)
-		} else if p, ok := h.holds[id]; ok && p.answer != nil {
-			out.Grants = append(out.Grants, *p.answer)
+			out.Queued = append(out.Queued, id)
+		} else if p, ok := h.placements[id]; ok && p.sentGrant != nil {
+			out.Grants = append(out.Grants, *p.sentGrant)
 		} else {
-			out.Again = append(out.Again, id)
+			out.UnknownRequests = append(out.UnknownRequests, id)
 		}
 	}
-	for i := range m.Asks {
-		a.receive(now, from, h, &m.Asks[i])
+	for i := range m.Requests {
+		a.handleRequest(now, from, h, &m.Requests[i])
 	}
 }
 
-// compare gives back the places that a VM does not have, and asks what those take
-// that this one does not know.
-func (a *Allocator) compare(now time.Time, from netip.AddrPort, h *holder, kept []uint64) {
-	has := make(map[uint64]bool, len(kept))
-	for _, id := range kept {
+// reconcile releases the placements that a VM no longer holds, and asks it to
+// describe those that are unknown here.
+func (a *Allocator) reconcile(now time.Time, from netip.AddrPort, h *client, held []uint64) {
+	has := make(map[uint64]bool, len(held))
+	for _, id := range held {
 		has[id] = true
-		if _, ok := h.holds[id]; !ok {
-			out := a.to(from)
-			out.Want = append(out.Want, id)
+		if _, ok := h.placements[id]; !ok {
+			out := a.outgoingTo(from)
+			out.UnknownPlacements = append(out.UnknownPlacements, id)
 		}
 	}
-	for id, p := range h.holds {
-		if !has[id] && now.Sub(p.at) > underWay {
-			delete(h.holds, id)
+	for id, p := range h.placements {
+		if !has[id] && now.Sub(p.countedAt) > reportDelay {
+			delete(h.placements, id)
 			a.count("places.repaired")
 			p.grant.Done()
 		}
 	}
 }
 
-// receive takes another VM's request for a place.
-func (a *Allocator) receive(now time.Time, from netip.AddrPort, h *holder, w *wireAsk) {
-	if o, ok := h.asks[w.ID]; ok {
-		// It was sent again.
+// handleRequest handles another VM's request for a placement.
+func (a *Allocator) handleRequest(now time.Time, from netip.AddrPort, h *client, w *wireRequest) {
+	if o, ok := h.requests[w.ID]; ok {
+		// The request was resent.
 		o.heard = now
-		if stop := moment(now, w.Stop); !stop.IsZero() {
-			o.asked.Stop(stop)
+		if stop := timeFromMillis(now, w.Stop); !stop.IsZero() {
+			o.queued.Stop(stop)
 		}
 		if !o.done {
-			out := a.to(from)
-			out.Waits = append(out.Waits, w.ID)
+			out := a.outgoingTo(from)
+			out.Queued = append(out.Queued, w.ID)
 		}
 		return
 	}
-	if p, ok := h.holds[w.ID]; ok {
-		if p.answer != nil {
-			out := a.to(from)
-			out.Grants = append(out.Grants, *p.answer)
+	if p, ok := h.placements[w.ID]; ok {
+		if p.sentGrant != nil {
+			out := a.outgoingTo(from)
+			out.Grants = append(out.Grants, *p.sentGrant)
 		}
 		return
 	}
 	service, ok := a.deps.Service(w.Group.Service)
-	if (!ok || a.deps.Tracker.Outdated()) && now.Sub(a.began) < starting {
-		// It is asked again in a moment. Told that this VM does not lead, those that
-		// start together with it would each ask another one for the next second.
+	if (!ok || a.deps.Tracker.Outdated()) && now.Sub(a.startedAt) < startupGrace {
+		// The VM will resend the request shortly. If it were told that this VM
+		// does not lead, the VMs that start at the same time would each use
+		// another leader for the next second.
 		return
 	}
 	if !ok || a.leaving || a.deps.Tracker.Outdated() {
-		out := a.to(from)
-		out.Moved = append(out.Moved, w.ID)
-		out.Stops = out.Stops || a.leaving
+		out := a.outgoingTo(from)
+		out.NotLeading = append(out.NotLeading, w.ID)
+		out.Stopping = out.Stopping || a.leaving
 		return
 	}
 	g := w.Group.group()
-	if a.sizes(g.Service); g.Zone == "" && a.split[g.Service] {
-		out := a.to(from)
-		out.Elsewhere = append(out.Elsewhere, wireElsewhere{ID: w.ID, Zone: a.choose(g.Service, w.Zone).Zone})
+	if a.zoneSizes(g.Service); g.Zone == "" && a.splitByZone[g.Service] {
+		out := a.outgoingTo(from)
+		out.OtherZones = append(out.OtherZones, wireOtherZone{ID: w.ID, Zone: a.initialGroup(g.Service, w.Zone).Zone})
 		return
 	}
 	l := a.lead(now, g, true)
-	l.alone = false
-	o := &remote{led: l, call: w.call(now), hops: w.Hops, heard: now}
+	l.localOnly = false
+	o := &remoteRequest{group: l, call: w.call(now), hops: w.Hops, heard: now}
 	o.call.Service = service
-	h.asks[w.ID] = o
-	o.asked = l.scheduler.Ask(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
+	h.requests[w.ID] = o
+	o.queued = l.scheduler.Ask(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
 		a.reply(from, h, w.ID, o, g, r)
 	})
 	if o.done {
 		return
 	}
-	out := a.to(from)
-	if zone, ok := a.better(now, l, o.call, o.hops); ok {
-		a.drop(h, w.ID, o)
-		out.Elsewhere = append(out.Elsewhere, wireElsewhere{ID: w.ID, Zone: zone})
+	out := a.outgoingTo(from)
+	if zone, ok := a.betterZone(now, l, o.call, o.hops); ok {
+		a.cancelRequest(h, w.ID, o)
+		out.OtherZones = append(out.OtherZones, wireOtherZone{ID: w.ID, Zone: zone})
 		return
 	}
-	out.Waits = append(out.Waits, w.ID)
+	out.Queued = append(out.Queued, w.ID)
 }
 
-// reply tells a VM what became of its ask.
-func (a *Allocator) reply(from netip.AddrPort, h *holder, id uint64, o *remote, g *scheduler.Grant, r *scheduler.Refusal) {
+// reply sends a VM the result of its request.
+func (a *Allocator) reply(from netip.AddrPort, h *client, id uint64, o *remoteRequest, g *scheduler.Grant, r *scheduler.Refusal) {
 	if o.done {
 		if g != nil {
 			g.Done()
@@ -364,68 +383,70 @@
 		return
 	}
 	o.done = true
-	delete(h.asks, id)
+	delete(h.requests, id)
 	now := a.deps.Now()
-	out := a.to(from)
+	out := a.outgoingTo(from)
 	if r != nil {
 		if r.Code == scheduler.None {
-			if zone, ok := a.better(now, o.led, o.call, o.hops); ok {
-				out.Elsewhere = append(out.Elsewhere, wireElsewhere{ID: id, Zone: zone})
+			if zone, ok := a.betterZone(now, o.group, o.call, o.hops); ok {
+				out.OtherZones = append(out.OtherZones, wireOtherZone{ID: id, Zone: zone})
 				return
 			}
 		}
-		out.Refusals = append(out.Refusals, wireRefusal{ID: id, Code: r.Code, After: r.After.Milliseconds(), Waits: wireWaits(r.Waits)})
+		out.Refusals = append(out.Refusals, wireRefusal{ID: id, Code: r.Code, After: r.After.Milliseconds(), Waits: encodeWaits(r.Waits)})
 		return
 	}
 	w := wireGrant{
 		ID: id, Main: wireUpstream{ID: g.Upstream.ID, Address: g.Upstream.Address},
 		Read: float32(g.Work.Read), Estimate: float32(g.Estimate), Long: g.Work.Long,
-		Streams: g.Load.Streams, Context: g.Load.Context, Unread: float32(g.Load.Unread), Waits: wireWaits(g.Waits),
+		Streams: g.Load.Streams, Context: g.Load.Context, Unread: float32(g.Load.Unread), Waits: encodeWaits(g.Waits),
 	}
 	for _, p := range g.Helpers {
 		w.Helpers = append(w.Helpers, wireUpstream{ID: p.ID, Address: p.Address, Tokens: p.Tokens})
 	}
-	h.holds[id] = &held{grant: g, at: now, answer: &w}
-	a.usual.note(g.Load, o.call.Ask)
+	h.placements[id] = &heldPlacement{grant: g, countedAt: now, sentGrant: &w}
+	a.typicalLoad.add(g.Load, o.call.Ask)
 	out.Grants = append(out.Grants, w)
 	if l := g.Upstream.Limit; l.Limited {
-		// Else the VM would not notice that the answer names no limit any more.
-		out.Limits = append(out.Limits, limitOf(now, g.Upstream.ID, l))
+		// Without this the VM would not notice when the upstream's responses
+		// stop naming a limit.
+		out.Limits = append(out.Limits, newWireLimit(now, g.Upstream.ID, l))
 	}
 }
 
-// forget gives back what VMs have that are silent.
-func (a *Allocator) forget(now time.Time) {
-	for at, h := range a.holders {
-		for id, o := range h.asks {
-			if now.Sub(o.heard) > lostAsks {
-				a.drop(h, id, o)
+// expireClients cancels the requests and releases the placements of VMs that
+// have gone silent.
+func (a *Allocator) expireClients(now time.Time) {
+	for at, h := range a.clients {
+		for id, o := range h.requests {
+			if now.Sub(o.heard) > requestTimeout {
+				a.cancelRequest(h, id, o)
 			}
 		}
-		for id, at := range h.ended {
-			if now.Sub(at) > lost {
-				delete(h.ended, id)
+		for id, at := range h.released {
+			if now.Sub(at) > clientTimeout {
+				delete(h.released, id)
 			}
 		}
-		if now.Sub(h.heard) > lost {
-			if n := len(h.holds); n > 0 {
-				a.deps.Log.Info().Str("peer", h.vm).Int("places", n).Dur("silent", now.Sub(h.heard)).Msg("places of a silent VM given back")
+		if now.Sub(h.heard) > clientTimeout {
+			if n := len(h.placements); n > 0 {
+				a.deps.Log.Info().Str("peer", h.vm).Int("places", n).Dur("silent", now.Sub(h.heard)).Msg("released placements of silent VM")
 			}
-			a.free(h)
-			delete(a.holders, at)
+			a.releaseAll(h)
+			delete(a.clients, at)
 		}
 	}
 }
 
-// hand tells all that have asked this VM to ask another.
-func (a *Allocator) hand(now time.Time) {
-	for at, h := range a.holders {
-		out := a.to(at)
-		out.Stops = true
-		for id, o := range h.asks {
-			out.Moved = append(out.Moved, id)
-			a.drop(h, id, o)
+// handOver tells all clients to send their requests to another leader.
+func (a *Allocator) handOver(now time.Time) {
+	for at, h := range a.clients {
+		out := a.outgoingTo(at)
+		out.Stopping = true
+		for id, o := range h.requests {
+			out.NotLeading = append(out.NotLeading, id)
+			a.cancelRequest(h, id, o)
 		}
 	}
-	a.deps.Log.Info().Int("holders", len(a.holders)).Dur("left", a.stop.Sub(now)).Msg("groups handed over")
+	a.deps.Log.Info().Int("holders", len(a.clients)).Dur("left", a.stopsAt.Sub(now)).Msg("groups handed over")
 }
--- a/entry/process/allocator/limit_test.go
+++ b/entry/process/allocator/limit_test.go
@@ -14,178 +14,183 @@
 	"github.com/heathervane/heathervane/entry/version/matcher"
 )
 
-// The bound on what an upstream gets that has named a limit, in any span that ends so
-// long after it first did, from VMs that have been told for some time.
+// In any limitWindow that ends at least limitSettleTime after an upstream first
+// named a limit, VMs that have known of the limit for at least limitSpreadTime
+// may send it at most limitFactor times the limit, plus limitSlack requests.
 const (
-	limitSpan  = 4 * time.Second
-	limitShare = 1.5
-	limitSlack = 5
-	limitKnown = 3 * time.Second
-	limitTold  = 500 * time.Millisecond
+	limitWindow     = 4 * time.Second
+	limitFactor     = 1.5
+	limitSlack      = 5
+	limitSettleTime = 3 * time.Second
+	limitSpreadTime = 500 * time.Millisecond
 )
 
-// A limited is a replay of requests for a service of which one upstream has named a
-// limit.
-type limited struct {
+// A limitTest sends requests for a service with two upstreams, of which u0
+// names a rate limit.
+type limitTest struct {
 	n    *network
 	rate float64
-	// named says that the upstream still names it, and since when.
-	named time.Time
-	told  map[int]time.Time
-	asked []asking
-	sent  []sending
-	// takes is how long an upstream takes to answer.
-	takes time.Duration
+	// limitSince is when the upstream started naming the limit; zero once it no
+	// longer does.
+	limitSince time.Time
+	informedAt map[int]time.Time
+	waiting    []waitingRequest
+	sent       []sentRequest
+	// responseTime is how long an upstream takes to respond.
+	responseTime time.Duration
 }
 
-type asking struct {
-	vm    int
-	asked *allocator.Pending
+type waitingRequest struct {
+	vm      int
+	pending *allocator.Pending
 }
 
-type sending struct {
-	vm    int
-	at    time.Time
-	place *allocator.Placement
-	main  bool
-	ended bool
+type sentRequest struct {
+	vm        int
+	at        time.Time
+	placement *allocator.Placement
+	toLimited bool
+	finished  bool
 }
 
-func newLimited(t testing.TB, vms int, rate float64) *limited {
+func newLimitTest(t testing.TB, vms int, rate float64) *limitTest {
 	zones := []string{"x", "y", "z"}
 	var all []string
 	for i := range vms {
 		all = append(all, zones[i%len(zones)])
 	}
-	l := &limited{n: newNetwork(t, all, 0), rate: rate, told: map[int]time.Time{}, takes: 20 * time.Millisecond}
-	l.named = l.n.now
+	l := &limitTest{n: newNetwork(t, all, 0), rate: rate, informedAt: map[int]time.Time{}, responseTime: 20 * time.Millisecond}
+	l.limitSince = l.n.now
 	for _, v := range l.n.vms {
-		l.list(v)
+		l.addUpstreams(v)
 	}
 	return l
 }
 
-// roomy is an engine that bears all that comes.
-var roomy = func() *matcher.Engine {
+// largeEngine is an engine with enough slots for all requests of these tests.
+var largeEngine = func() *matcher.Engine {
 	e := *engine
 	e.Slots = 64
 	return &e
 }()
 
-// list lists the upstreams at a VM.
-func (l *limited) list(v *vm) {
-	v.service = &matcher.Service{Name: "s", Engine: roomy}
+// addUpstreams adds both upstreams to a VM's list.
+func (l *limitTest) addUpstreams(v *vm) {
+	v.service = &matcher.Service{Name: "s", Engine: largeEngine}
 	for _, id := range []string{"u0", "u1"} {
-		v.tracker.Put(l.n.now, tracker.Upstream{ID: id, Service: "s", Address: "127.0.0.1:1", Zone: "x", Slots: roomy.Slots})
+		v.tracker.Put(l.n.now, tracker.Upstream{ID: id, Service: "s", Address: "127.0.0.1:1", Zone: "x", Slots: largeEngine.Slots})
 	}
 }
 
-// leaveOne leaves the upstream that names a limit as the only one, so that all that
-// it takes is used.
-func (l *limited) leaveOne() {
+// keepLimitedUpstreamOnly removes the other upstream, so that the limited one
+// gets as many requests as allowed.
+func (l *limitTest) keepLimitedUpstreamOnly() {
 	for _, v := range l.n.vms {
 		v.tracker.Remove(l.n.now, "u1", false)
 	}
 }
 
-func (l *limited) call() scheduler.Call {
+func (l *limitTest) call() scheduler.Call {
 	c := l.n.call()
-	c.Service = &matcher.Service{Name: "s", Engine: roomy}
+	c.Service = &matcher.Service{Name: "s", Engine: largeEngine}
 	return c
 }
 
-// run lets time pass in which requests come so often at VMs that take callers.
-func (l *limited) run(d time.Duration, perSecond float64, draw *rand.Rand) {
+// run advances the clock while requests arrive at the given rate at VMs that
+// are neither dead nor frozen.
+func (l *limitTest) run(d time.Duration, perSecond float64, rng *rand.Rand) {
 	const step = 5 * time.Millisecond
 	for end := l.n.now.Add(d); l.n.now.Before(end); {
-		if draw.Float64() < perSecond*step.Seconds() {
-			if v := l.n.vms[draw.IntN(len(l.n.vms))]; !v.dead && !v.frozen {
-				l.asked = append(l.asked, asking{v.index, v.Submit(l.call())})
+		if rng.Float64() < perSecond*step.Seconds() {
+			if v := l.n.vms[rng.IntN(len(l.n.vms))]; !v.dead && !v.frozen {
+				l.waiting = append(l.waiting, waitingRequest{v.index, v.Submit(l.call())})
 			}
 		}
 		l.n.run(step)
 		l.send()
-		l.answer()
+		l.respond()
 	}
 }
 
-func (l *limited) send() {
-	var waits []asking
-	for _, a := range l.asked {
-		p, r := a.asked.Poll()
+func (l *limitTest) send() {
+	var remaining []waitingRequest
+	for _, a := range l.waiting {
+		p, r := a.pending.Poll()
 		switch {
 		case p == nil && r == nil:
-			waits = append(waits, a)
+			remaining = append(remaining, a)
 		case p != nil:
-			l.sent = append(l.sent, sending{vm: a.vm, at: l.n.now, place: p, main: p.Upstream.ID == "u0"})
+			l.sent = append(l.sent, sentRequest{vm: a.vm, at: l.n.now, placement: p, toLimited: p.Upstream.ID == "u0"})
 		}
 	}
-	l.asked = waits
+	l.waiting = remaining
 }
 
-func (l *limited) answer() {
+func (l *limitTest) respond() {
 	for i := range l.sent {
 		s := &l.sent[i]
 		v := l.n.vms[s.vm]
-		if s.ended || v.dead || v.frozen || l.n.now.Sub(s.at) < l.takes {
+		if s.finished || v.dead || v.frozen || l.n.now.Sub(s.at) < l.responseTime {
 			continue
 		}
-		s.ended = true
-		if s.main {
-			word := tracker.Limit{Limited: !l.named.IsZero(), Rate: l.rate, AsOf: l.n.now}
-			if !word.Limited {
-				word.AsOf = s.at
-			} else if l.told[s.vm].IsZero() {
-				l.told[s.vm] = l.n.now
+		s.finished = true
+		if s.toLimited {
+			limit := tracker.Limit{Limited: !l.limitSince.IsZero(), Rate: l.rate, AsOf: l.n.now}
+			if !limit.Limited {
+				limit.AsOf = s.at
+			} else if l.informedAt[s.vm].IsZero() {
+				l.informedAt[s.vm] = l.n.now
 			}
-			v.tracker.Limit("u0", word)
+			v.tracker.Limit("u0", limit)
 		}
-		s.place.Release()
+		s.placement.Release()
 	}
 }
 
-// most is how many requests counted in some span.
-func (l *limited) most(excused map[int]bool) (most int, at time.Duration) {
+// maxInWindow returns the largest number of counted requests in a limitWindow,
+// and when that window ended.
+func (l *limitTest) maxInWindow(excused map[int]bool) (most int, at time.Duration) {
 	var times []time.Time
 	for _, s := range l.sent {
-		told := l.told[s.vm]
-		if s.main && !excused[s.vm] && !told.IsZero() && s.at.Sub(told) >= limitTold {
+		informed := l.informedAt[s.vm]
+		if s.toLimited && !excused[s.vm] && !informed.IsZero() && s.at.Sub(informed) >= limitSpreadTime {
 			times = append(times, s.at)
 		}
 	}
 	for i, end := range times {
 		n := 0
 		for _, at := range times[:i+1] {
-			if end.Sub(at) < limitSpan {
+			if end.Sub(at) < limitWindow {
 				n++
 			}
 		}
-		if end.Sub(l.named) >= limitKnown && n > most {
-			most, at = n, end.Sub(l.named)
+		if end.Sub(l.limitSince) >= limitSettleTime && n > most {
+			most, at = n, end.Sub(l.limitSince)
 		}
 	}
 	return most, at
 }
 
-// keepsLimit checks the bound, for requests of VMs that are not excused.
-func (l *limited) keepsLimit(t assert.TestingT, excused map[int]bool) {
-	allowed := int(limitShare*l.rate*limitSpan.Seconds()) + limitSlack
-	most, at := l.most(excused)
-	assert.Assert(t, most <= allowed, "%d requests in %v that end %v after the limit was named, allowed %d", most, limitSpan, at, allowed)
+// checkLimit checks the bound for requests of VMs that are not excused.
+func (l *limitTest) checkLimit(t assert.TestingT, excused map[int]bool) {
+	allowed := int(limitFactor*l.rate*limitWindow.Seconds()) + limitSlack
+	most, at := l.maxInWindow(excused)
+	assert.Assert(t, most <= allowed, "%d requests in %v that end %v after the limit was named, allowed %d", most, limitWindow, at, allowed)
 }
 
-// VMs that each kept to the limit alone would exceed it as many times as there are,
-// and so would leaders that change, or of which two lead at once.
+// If each VM kept to the limit on its own, the upstream would get a multiple of
+// it, one for each VM. The same would happen with changing leaders, or with two
+// leaders at the same time.
 func TestUpstreamGetsNoMoreThanItsLimitFromAllVMs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		vms := rapid.IntRange(1, 9).Draw(rt, "vms")
 		rate := float64(rapid.IntRange(0, 40).Draw(rt, "limit")) / 4
-		draw := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
-		l := newLimited(t, vms, rate)
-		l.takes = time.Duration(rapid.IntRange(10, 400).Draw(rt, "answers after")) * time.Millisecond
-		l.n.spoil = spoiled(draw, rapid.Float64Range(0, 0.2).Draw(rt, "lost datagrams"))
+		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
+		l := newLimitTest(t, vms, rate)
+		l.responseTime = time.Duration(rapid.IntRange(10, 400).Draw(rt, "answers after")) * time.Millisecond
+		l.n.tamper = lossy(rng, rapid.Float64Range(0, 0.2).Draw(rt, "lost datagrams"))
 		perSecond := rapid.Float64Range(20, 80).Draw(rt, "requests a second")
-		l.run(4*time.Second, perSecond, draw)
+		l.run(4*time.Second, perSecond, rng)
 		excused := map[int]bool{}
 		for range rapid.IntRange(0, 4).Draw(rt, "events") {
 			i := rapid.IntRange(0, vms-1).Draw(rt, "vm")
@@ -194,177 +199,182 @@
 			switch rapid.IntRange(0, 5).Draw(rt, "event") {
 			case 0:
 				v.frozen = true
-				l.run(time.Duration(rapid.IntRange(200, 3000).Draw(rt, "frozen"))*time.Millisecond, perSecond, draw)
-				l.n.thaw(v)
+				l.run(time.Duration(rapid.IntRange(200, 3000).Draw(rt, "frozen"))*time.Millisecond, perSecond, rng)
+				l.n.unfreeze(v)
 			case 1:
 				l.kill(v)
-				l.run(time.Duration(rapid.IntRange(200, 3000).Draw(rt, "down"))*time.Millisecond, perSecond, draw)
+				l.run(time.Duration(rapid.IntRange(200, 3000).Draw(rt, "down"))*time.Millisecond, perSecond, rng)
 				l.restart(v)
 			case 2:
-				l.cut(v, true)
-				l.run(time.Duration(rapid.IntRange(200, 3000).Draw(rt, "cut"))*time.Millisecond, perSecond, draw)
-				l.cut(v, false)
+				l.setIsolated(v, true)
+				l.run(time.Duration(rapid.IntRange(200, 3000).Draw(rt, "cut"))*time.Millisecond, perSecond, rng)
+				l.setIsolated(v, false)
 			case 3:
-				// Both sides go on sending, and neither is excused.
+				// Both sides keep sending, so neither is excused.
 				delete(excused, i)
 				side := rapid.IntRange(0, vms-1).Draw(rt, "side")
-				l.part(side, true)
-				l.run(time.Duration(rapid.IntRange(200, 9000).Draw(rt, "parted"))*time.Millisecond, perSecond, draw)
-				l.part(side, false)
+				l.setPartitioned(side, true)
+				l.run(time.Duration(rapid.IntRange(200, 9000).Draw(rt, "parted"))*time.Millisecond, perSecond, rng)
+				l.setPartitioned(side, false)
 			case 4:
-				// It is heard by others, and none answers it.
+				// The other VMs consider it live, but no datagram passes in
+				// either direction.
 				delete(excused, i)
-				l.block(v, true)
-				l.run(time.Duration(rapid.IntRange(200, 5000).Draw(rt, "unanswered"))*time.Millisecond, perSecond, draw)
-				l.block(v, false)
+				l.setBlocked(v, true)
+				l.run(time.Duration(rapid.IntRange(200, 5000).Draw(rt, "unanswered"))*time.Millisecond, perSecond, rng)
+				l.setBlocked(v, false)
 			default:
 				delete(excused, i)
 			}
-			l.run(time.Duration(rapid.IntRange(0, 3000).Draw(rt, "pause"))*time.Millisecond, perSecond, draw)
+			l.run(time.Duration(rapid.IntRange(0, 3000).Draw(rt, "pause"))*time.Millisecond, perSecond, rng)
 		}
-		l.keepsLimit(rt, excused)
+		l.checkLimit(rt, excused)
 	})
 }
 
-func (l *limited) kill(v *vm) {
+func (l *limitTest) kill(v *vm) {
 	v.dead = true
 	for _, o := range l.n.vms {
-		o.unheard[v.index] = true
+		o.unreachable[v.index] = true
 	}
-	var waits []asking
-	for _, a := range l.asked {
+	var waits []waitingRequest
+	for _, a := range l.waiting {
 		if a.vm != v.index {
 			waits = append(waits, a)
 		}
 	}
-	l.asked = waits
+	l.waiting = waits
 	for i := range l.sent {
-		l.sent[i].ended = l.sent[i].ended || l.sent[i].vm == v.index
+		l.sent[i].finished = l.sent[i].finished || l.sent[i].vm == v.index
 	}
 }
 
-// restart starts a VM's process again, which knows nothing of before.
-func (l *limited) restart(v *vm) {
+// restart restarts a VM's process, which loses all state.
+func (l *limitTest) restart(v *vm) {
 	v.dead = false
 	v.tracker = tracker.New()
-	l.list(v)
-	delete(l.told, v.index)
+	l.addUpstreams(v)
+	delete(l.informedAt, v.index)
 	for _, o := range l.n.vms {
-		delete(o.unheard, v.index)
+		delete(o.unreachable, v.index)
 	}
 	l.n.start(v, l.n.now.UnixNano())
 }
 
-// block loses all that a VM and the others send each other, or ends that.
-func (l *limited) block(v *vm, is bool) {
+// setBlocked sets whether datagrams between a VM and all others are lost.
+func (l *limitTest) setBlocked(v *vm, blocked bool) {
 	for _, o := range l.n.vms {
 		if o != v {
-			l.n.blocked[[2]int{v.index, o.index}], l.n.blocked[[2]int{o.index, v.index}] = is, is
+			l.n.blocked[[2]int{v.index, o.index}], l.n.blocked[[2]int{o.index, v.index}] = blocked, blocked
 		}
 	}
 }
 
-// cut cuts a VM from all others, or ends that.
-func (l *limited) cut(v *vm, is bool) {
+// setIsolated sets whether a VM is cut off from all others, which also consider
+// it dead.
+func (l *limitTest) setIsolated(v *vm, isolated bool) {
 	for _, o := range l.n.vms {
 		if o == v {
 			continue
 		}
-		l.n.blocked[[2]int{v.index, o.index}], l.n.blocked[[2]int{o.index, v.index}] = is, is
-		v.unheard[o.index], o.unheard[v.index] = is, is
+		l.n.blocked[[2]int{v.index, o.index}], l.n.blocked[[2]int{o.index, v.index}] = isolated, isolated
+		v.unreachable[o.index], o.unreachable[v.index] = isolated, isolated
 	}
 }
 
-// Two halves that do not hear each other have a leader each, and both would let the
-// upstream have all that it takes.
-func TestBothSidesOfACutKeepToTheLimitTogether(t *testing.T) {
+// Two halves of the fleet do not hear each other and have a leader each.
+// Together they must not exceed the upstream's limit.
+func TestPartitionedHalvesKeepTheLimit(t *testing.T) {
 	const rate = 10
-	draw := rand.New(rand.NewPCG(1, 1))
-	l := newLimited(t, 6, rate)
-	l.run(4*time.Second, 80, draw)
-	whole := l.count()
-	l.part(3, true)
-	l.run(8*time.Second, 80, draw)
-	l.part(3, false)
-	l.run(4*time.Second, 80, draw)
-	l.keepsLimit(t, nil)
-	assert.Assert(t, whole >= 3*rate, "%d requests in 4 s, where a leader may have %d", whole, 4*rate)
+	rng := rand.New(rand.NewPCG(1, 1))
+	l := newLimitTest(t, 6, rate)
+	l.run(4*time.Second, 80, rng)
+	total := l.sentToLimited()
+	l.setPartitioned(3, true)
+	l.run(8*time.Second, 80, rng)
+	l.setPartitioned(3, false)
+	l.run(4*time.Second, 80, rng)
+	l.checkLimit(t, nil)
+	assert.Assert(t, total >= 3*rate, "%d requests in 4 s, while a leader may send %d", total, 4*rate)
 }
 
-// Where no leader answers anybody, each VM decides for itself.
-func TestVMsThatDecideAloneKeepToTheLimitTogether(t *testing.T) {
+// No VM gets answers from any leader, so that each one decides alone. Together
+// they must not exceed the limit.
+func TestVMsSchedulingAloneKeepTheLimit(t *testing.T) {
 	const rate = 4
-	draw := rand.New(rand.NewPCG(1, 1))
-	l := newLimited(t, 9, rate)
-	l.leaveOne()
-	l.run(4*time.Second, 80, draw)
+	rng := rand.New(rand.NewPCG(1, 1))
+	l := newLimitTest(t, 9, rate)
+	l.keepLimitedUpstreamOnly()
+	l.run(4*time.Second, 80, rng)
 	for _, v := range l.n.vms {
-		l.block(v, true)
+		l.setBlocked(v, true)
 	}
-	l.run(10*time.Second, 400, draw)
-	l.keepsLimit(t, nil)
+	l.run(10*time.Second, 400, rng)
+	l.checkLimit(t, nil)
 }
 
-// The leader answers some VMs only, and another one leads the rest in its place.
-func TestVMThatLeadsForSomeKeepsToTheLimitBesideTheLeader(t *testing.T) {
+// The leader answers only some VMs, and another VM leads the rest in its place.
+// Together they must not exceed the limit.
+func TestLeaderAndActingLeaderKeepTheLimit(t *testing.T) {
 	const rate = 10
-	draw := rand.New(rand.NewPCG(1, 1))
-	l := newLimited(t, 6, rate)
-	l.leaveOne()
-	l.run(4*time.Second, 80, draw)
+	rng := rand.New(rand.NewPCG(1, 1))
+	l := newLimitTest(t, 6, rate)
+	l.keepLimitedUpstreamOnly()
+	l.run(4*time.Second, 80, rng)
 	for _, v := range l.n.vms[2:] {
 		l.n.blocked[[2]int{v.index, 0}], l.n.blocked[[2]int{0, v.index}] = true, true
 	}
-	l.run(8*time.Second, 200, draw)
-	l.keepsLimit(t, nil)
+	l.run(8*time.Second, 200, rng)
+	l.checkLimit(t, nil)
 }
 
-// A leader that starts again has heard of no limit, and upstreams take a while to
-// answer.
-func TestLeaderThatStartsAgainKnowsLimits(t *testing.T) {
+// A restarted leader does not remember any limit, and upstreams take a while to
+// respond. It must learn the limit from other VMs.
+func TestRestartedLeaderKnowsLimits(t *testing.T) {
 	const rate = 1
-	draw := rand.New(rand.NewPCG(1, 1))
-	l := newLimited(t, 4, rate)
-	l.takes = 400 * time.Millisecond
-	l.run(6*time.Second, 60, draw)
+	rng := rand.New(rand.NewPCG(1, 1))
+	l := newLimitTest(t, 4, rate)
+	l.responseTime = 400 * time.Millisecond
+	l.run(6*time.Second, 60, rng)
 	l.kill(l.n.vms[0])
-	l.run(2*time.Second, 60, draw)
+	l.run(2*time.Second, 60, rng)
 	l.restart(l.n.vms[0])
-	l.run(4*time.Second, 60, draw)
-	l.keepsLimit(t, map[int]bool{0: true})
+	l.run(4*time.Second, 60, rng)
+	l.checkLimit(t, map[int]bool{0: true})
 }
 
-// count is how many requests the upstream got.
-func (l *limited) count() int {
+// sentToLimited returns the number of requests sent to the limited upstream.
+func (l *limitTest) sentToLimited() int {
 	n := 0
 	for _, s := range l.sent {
-		if s.main {
+		if s.toLimited {
 			n++
 		}
 	}
 	return n
 }
 
-// part cuts the first VMs from the others, or ends that.
-func (l *limited) part(first int, is bool) {
+// setPartitioned sets whether the first VMs are cut off from the others. The two
+// sides then also consider each other dead.
+func (l *limitTest) setPartitioned(first int, partitioned bool) {
 	for _, v := range l.n.vms[:first] {
 		for _, o := range l.n.vms[first:] {
-			l.n.blocked[[2]int{v.index, o.index}], l.n.blocked[[2]int{o.index, v.index}] = is, is
-			v.unheard[o.index], o.unheard[v.index] = is, is
+			l.n.blocked[[2]int{v.index, o.index}], l.n.blocked[[2]int{o.index, v.index}] = partitioned, partitioned
+			v.unreachable[o.index], o.unreachable[v.index] = partitioned, partitioned
 		}
 	}
 }
 
-// An upstream that no longer names a limit must get its share again, at whichever VM
-// that was seen.
-func TestLimitEndsWhereTheUpstreamNamesNoneAnyMore(t *testing.T) {
-	draw := rand.New(rand.NewPCG(1, 1))
-	l := newLimited(t, 5, 2)
-	l.run(5*time.Second, 60, draw)
-	l.named = time.Time{}
-	l.run(3*time.Second, 60, draw)
-	before, all := l.count(), len(l.sent)
-	l.run(2*time.Second, 60, draw)
-	n := l.count() - before
-	assert.Assert(t, n >= 20, "%d of %d requests went there in 2 s", n, len(l.sent)-all)
+// An upstream that no longer names a limit must get its normal share of
+// requests again, whichever VM saw that.
+func TestLimitEndsWhenNoLongerNamed(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	l := newLimitTest(t, 5, 2)
+	l.run(5*time.Second, 60, rng)
+	l.limitSince = time.Time{}
+	l.run(3*time.Second, 60, rng)
+	before, all := l.sentToLimited(), len(l.sent)
+	l.run(2*time.Second, 60, rng)
+	n := l.sentToLimited() - before
+	assert.Assert(t, n >= 20, "%d of %d requests were sent to the upstream in 2 s", n, len(l.sent)-all)
 }
--- a/entry/process/allocator/member.go
+++ b/entry/process/allocator/member.go
@@ -8,94 +8,102 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A Group is the upstreams of a service among which one VM allocates places:
-// those of a zone, or all of them where Zone is empty.
+// A Group is the set of a service's upstreams that are allocated by one VM:
+// those in a zone, or all of them if Zone is empty.
 type Group struct{ Service, Zone string }
 
-// A Member is a VM that may allocate.
+// A Member is a VM that can lead groups.
 type Member struct {
 	VM      string
 	Address netip.AddrPort
 	Zone    string
-	// Cores is the part of a core that its machine gives it.
+	// Cores is the number of CPU cores available to the VM; it may be
+	// fractional.
 	Cores float64
-	// Leaving says that it is about to stop.
+	// Leaving reports whether the VM is about to stop.
 	Leaving bool
 }
 
-// powerUnit is the difference in power from which the stronger of two VMs leads.
-const powerUnit = 0.1
+// coresStep is the unit to which Cores is rounded down for comparison, so that
+// smaller differences do not decide who leads.
+const coresStep = 0.1
 
-// place orders members by how well they lead a group: those near its upstreams
-// first, then the strongest, then by hash, so that different groups are led by
-// different VMs and a VM that joins takes over few of them.
-func (m *Member) place(g Group) (near bool, power int, hash uint64) {
-	return g.Zone == "" || m.Zone == g.Zone, int(m.Cores / powerUnit), xxhash.Sum64String(g.Service + "\x00" + g.Zone + "\x00" + m.VM)
+// rankKey returns the keys by which members are ordered to lead a group: first
+// those in its zone, then by cores, then by hash. Because of the hash,
+// different groups are led by different VMs, and a VM that joins takes over few
+// of them.
+func (m *Member) rankKey(g Group) (near bool, cores int, hash uint64) {
+	return g.Zone == "" || m.Zone == g.Zone, int(m.Cores / coresStep), xxhash.Sum64String(g.Service + "\x00" + g.Zone + "\x00" + m.VM)
 }
 
-// Outranks says that a member leads a group rather than another one.
+// Outranks reports whether m ranks before o as the leader of a group.
 func (m *Member) Outranks(o *Member, g Group) bool {
-	near, power, hash := m.place(g)
-	oNear, oPower, oHash := o.place(g)
+	near, cores, hash := m.rankKey(g)
+	oNear, oCores, oHash := o.rankKey(g)
 	if near != oNear {
 		return near
 	}
-	return cmp.Or(cmp.Compare(oPower, power), cmp.Compare(hash, oHash)) < 0
+	return cmp.Or(cmp.Compare(oCores, cores), cmp.Compare(hash, oHash)) < 0
 }
 
 const (
-	// suspectFor is for how long a member that did not answer is skipped; it
-	// doubles each time up to mostSuspect. That it can be heard says little: its
-	// way may be cut in one direction, or it is slow.
-	suspectFor  = time.Second
-	mostSuspect = 8 * time.Second
+	// minSuspicion is how long a member that did not answer is skipped the
+	// first time. The duration doubles each further time, up to maxSuspicion.
+	// That the member can still be heard means little: its network path may be
+	// cut in one direction, or it may be slow.
+	minSuspicion = time.Second
+	maxSuspicion = 8 * time.Second
 )
 
-// A suspicion is what this VM holds against a member that did not answer.
+// A suspicion records how long a member that did not answer is skipped.
 type suspicion struct {
-	until time.Time
-	next  time.Duration
+	until    time.Time
+	duration time.Duration
 }
 
-// A choice is the leader of a group, as long as nothing has changed on which it rests.
-type choice struct {
+// A cachedLeader is the leader found for a group. It is valid until one of the
+// inputs below changes.
+type cachedLeader struct {
 	leader Member
 	self   bool
-	// first and count are the list of members, leaving and suspected as of then, and
-	// until when no suspicion ends.
-	first     *Member
-	count     int
-	leaving   bool
-	suspected int
-	until     time.Time
+	// firstMember and memberCount identify the member list that was used,
+	// leaving and suspectCount are the values at that time, and until is when
+	// the next suspicion ends.
+	firstMember  *Member
+	memberCount  int
+	leaving      bool
+	suspectCount int
+	until        time.Time
 }
 
-// leader is the member that allocates for a group, as far as this VM knows; self
-// says that it is this one. It is asked for several times for each request, and
-// ranking hundreds of members each time would take most of a VM's time.
+// leader returns the member that leads a group as far as this VM knows; self
+// reports whether it is this VM. The result is cached: leader is called several
+// times per request, and ranking hundreds of members each time would take most
+// of a VM's time.
 func (a *Allocator) leader(now time.Time, g Group) (m Member, self bool) {
 	members := a.deps.Members()
-	c := choice{count: len(members), leaving: a.leaving, suspected: a.suspected}
+	c := cachedLeader{memberCount: len(members), leaving: a.leaving, suspectCount: a.suspectCount}
 	if len(members) > 0 {
-		c.first = &members[0]
+		c.firstMember = &members[0]
 	}
-	if last, ok := a.leaders[g]; ok && last.first == c.first && last.count == c.count && last.leaving == c.leaving &&
-		last.suspected == c.suspected && now.Before(last.until) {
+	if last, ok := a.leaderCache[g]; ok && last.firstMember == c.firstMember && last.memberCount == c.memberCount && last.leaving == c.leaving &&
+		last.suspectCount == c.suspectCount && now.Before(last.until) {
 		return last.leader, last.self
 	}
-	c.leader, c.self = a.rank(now, g, members)
-	c.until = now.Add(mostSuspect)
+	c.leader, c.self = a.findLeader(now, g, members)
+	c.until = now.Add(maxSuspicion)
 	for _, s := range a.suspects {
 		if s.until.After(now) && s.until.Before(c.until) {
 			c.until = s.until
 		}
 	}
-	a.leaders[g] = c
+	a.leaderCache[g] = c
 	return c.leader, c.self
 }
 
-// rank finds the first member that may lead a group.
-func (a *Allocator) rank(now time.Time, g Group, members []Member) (m Member, self bool) {
+// findLeader returns the first-ranked member that is neither leaving nor
+// suspected.
+func (a *Allocator) findLeader(now time.Time, g Group, members []Member) (m Member, self bool) {
 	best := a.self()
 	self = true
 	for i := range members {
@@ -115,26 +123,27 @@
 }
 
 // suspect skips a member for a while.
-func (a *Allocator) suspect(now time.Time, m netip.AddrPort, why string) {
+func (a *Allocator) suspect(now time.Time, m netip.AddrPort, cause string) {
 	d := a.suspects[m]
-	d.next = min(mostSuspect, max(suspectFor, 2*d.next))
-	d.until = now.Add(d.next)
+	d.duration = min(maxSuspicion, max(minSuspicion, 2*d.duration))
+	d.until = now.Add(d.duration)
 	a.suspects[m] = d
-	a.suspected++
+	a.suspectCount++
 	a.count("leaders.suspected")
-	a.deps.Log.Info().Str("leader", m.String()).Str("cause", why).Dur("for", d.next).Msg("leader skipped")
+	a.deps.Log.Info().Str("leader", m.String()).Str("cause", cause).Dur("for", d.duration).Msg("leader skipped")
 }
 
-// isSuspect says that a member has been skipped and has not answered since. What
-// waits at another one is not sent back to it: it may be dead, and its beats are
-// missed only later.
+// isSuspect reports whether a member was skipped and has not been heard after
+// that time. Requests that wait at another leader are not moved back to it, as
+// it may be dead and its missing heartbeats are noticed only later.
 func (a *Allocator) isSuspect(m netip.AddrPort) bool {
 	_, ok := a.suspects[m]
 	return ok
 }
 
-// clear notes that a member has answered.
-func (a *Allocator) clear(now time.Time, m netip.AddrPort) {
+// clearSuspicion records that a member was heard. A suspicion that is still in
+// force remains.
+func (a *Allocator) clearSuspicion(now time.Time, m netip.AddrPort) {
 	if d, ok := a.suspects[m]; ok && !now.Before(d.until) {
 		delete(a.suspects, m)
 	}
--- a/entry/process/allocator/message.go
+++ b/entry/process/allocator/message.go
@@ -8,52 +8,60 @@
 	"github.com/heathervane/heathervane/entry/request/placer"
 )
 
-// DatagramType is the first byte of a datagram of this package, by which it is told from
-// others on the same socket. No CBOR map begins with it.
+// DatagramType is the first byte of this package's datagrams. It tells them
+// apart from other messages on the same socket, which are CBOR maps and never
+// start with this byte.
 const DatagramType = 'a'
 
-// A message is one datagram. What a VM says that asks stands above what a leader
-// says; one datagram may hold both.
+// A message is the content of one datagram. The first fields are addressed to a
+// leader, the others come from a leader; one message may contain both.
 type message struct {
 	VM   string `cbor:"1,keyasint"`
 	Boot int64  `cbor:"2,keyasint"`
-	// Asks ask for places, Still says that these asks are waited for, Left that
-	// these are not any more.
-	Asks  []wireAsk `cbor:"3,keyasint,omitempty"`
-	Still []uint64  `cbor:"4,keyasint,omitempty"`
-	Left  []uint64  `cbor:"5,keyasint,omitempty"`
-	// Began and Ended are places whose first event has come, and that are free.
-	Began []uint64 `cbor:"6,keyasint,omitempty"`
-	Ended []uint64 `cbor:"7,keyasint,omitempty"`
-	// Kept are all places that the sender has from the receiver; Whole says so
-	// where there are none.
-	Kept  []uint64 `cbor:"8,keyasint,omitempty"`
-	Whole bool     `cbor:"9,keyasint,omitempty"`
-	// Places are what the sender has, for a receiver that did not give it.
-	Places []wirePlace `cbor:"10,keyasint,omitempty"`
-	// Told are groups in which the receiver has now been told of all places.
-	Told []wireGroup `cbor:"26,keyasint,omitempty"`
-	// Events are what it has found out about upstreams, and Limits those that they
-	// have named.
+	// Requests ask for placements. StillWaiting lists requests for which the
+	// sender still waits, and Cancelled those for which it no longer does.
+	Requests     []wireRequest `cbor:"3,keyasint,omitempty"`
+	StillWaiting []uint64      `cbor:"4,keyasint,omitempty"`
+	Cancelled    []uint64      `cbor:"5,keyasint,omitempty"`
+	// Started lists the placements whose first event has arrived, Released
+	// those that are free again.
+	Started  []uint64 `cbor:"6,keyasint,omitempty"`
+	Released []uint64 `cbor:"7,keyasint,omitempty"`
+	// Held lists all placements that the sender holds in groups that the
+	// receiver leads. HeldComplete marks the list as valid, also when it is
+	// empty.
+	Held         []uint64 `cbor:"8,keyasint,omitempty"`
+	HeldComplete bool     `cbor:"9,keyasint,omitempty"`
+	// Placements describes placements of the sender that the receiver did not
+	// grant.
+	Placements []wirePlacement `cbor:"10,keyasint,omitempty"`
+	// ReportedGroups lists the groups of which the receiver has now been sent
+	// all placements.
+	ReportedGroups []wireGroup `cbor:"26,keyasint,omitempty"`
+	// Events are observations about upstreams, and Limits the rate limits that
+	// upstreams have named.
 	Events []wireEvent `cbor:"11,keyasint,omitempty"`
 	Limits []wireLimit `cbor:"27,keyasint,omitempty"`
 
-	// Grants and Refusals answer asks, Waits says that these wait, Moved that
-	// others decide on these, and Elsewhere that they are better asked for there.
-	Grants    []wireGrant     `cbor:"16,keyasint,omitempty"`
-	Refusals  []wireRefusal   `cbor:"17,keyasint,omitempty"`
-	Waits     []uint64        `cbor:"18,keyasint,omitempty"`
-	Moved     []uint64        `cbor:"19,keyasint,omitempty"`
-	Elsewhere []wireElsewhere `cbor:"20,keyasint,omitempty"`
-	// Again are asks of which the sender does not know.
-	Again []uint64 `cbor:"25,keyasint,omitempty"`
-	// Want are places of which the sender does not know what they take.
-	Want []uint64 `cbor:"21,keyasint,omitempty"`
-	// Collect asks for all places in these groups: the sender begins to lead.
-	Collect []wireGroup `cbor:"22,keyasint,omitempty"`
-	// Stops says that the sender no longer leads any group.
-	Stops bool `cbor:"23,keyasint,omitempty"`
-	// Summaries are of the groups that the sender leads.
+	// Grants and Refusals answer requests. Queued lists requests that wait,
+	// NotLeading those for which the receiver must use another leader, and
+	// OtherZones those that should move to the group of another zone.
+	Grants     []wireGrant     `cbor:"16,keyasint,omitempty"`
+	Refusals   []wireRefusal   `cbor:"17,keyasint,omitempty"`
+	Queued     []uint64        `cbor:"18,keyasint,omitempty"`
+	NotLeading []uint64        `cbor:"19,keyasint,omitempty"`
+	OtherZones []wireOtherZone `cbor:"20,keyasint,omitempty"`
+	// UnknownRequests lists requests that the sender does not know.
+	UnknownRequests []uint64 `cbor:"25,keyasint,omitempty"`
+	// UnknownPlacements lists placements that the sender asks the receiver to
+	// describe.
+	UnknownPlacements []uint64 `cbor:"21,keyasint,omitempty"`
+	// CollectGroups lists groups that the sender leads, and asks the receiver
+	// to report all its placements in them.
+	CollectGroups []wireGroup `cbor:"22,keyasint,omitempty"`
+	// Stopping reports that the sender no longer leads any group.
+	Stopping bool `cbor:"23,keyasint,omitempty"`
+	// Summaries describe the load of groups that the sender leads.
 	Summaries []wireSummary `cbor:"24,keyasint,omitempty"`
 }
 
@@ -67,16 +75,16 @@
 
 func (g wireGroup) group() Group { return Group{g.Service, g.Zone} }
 
-// wireAsk is a request for a place. Clocks of VMs differ, so that its times are
-// milliseconds from its sending.
-type wireAsk struct {
+// wireRequest is a request for a placement. Its times are in milliseconds
+// relative to sending, because the clocks of VMs differ.
+type wireRequest struct {
 	_              struct{} `cbor:",toarray"`
 	ID             uint64
 	Group          wireGroup
 	Hops           int
 	Prompt, Output int
 	Pause          float32
-	// Arrived is how long ago it came; Leaves and Stop are 0 where they are not
+	// Arrived is normally negative; Leaves and Stop are 0 if they are not
 	// known.
 	Arrived, Objective, Deadline, Leaves, Stop int64
 	Priority                                   int
@@ -84,48 +92,49 @@
 	Tried, Avoid                               []string
 }
 
-// unknown is the wire form of a time that is not known: one that is has passed
-// or comes, and is hardly ever this very millisecond.
-const unknown = 0
+// unknownTime encodes a time that is not known. A known time hardly ever equals
+// the current millisecond; if it does, it is encoded as 1.
+const unknownTime = 0
 
-func until(now, at time.Time) int64 {
+func millisUntil(now, at time.Time) int64 {
 	if at.IsZero() {
-		return unknown
+		return unknownTime
 	}
-	if ms := at.Sub(now).Milliseconds(); ms != unknown {
+	if ms := at.Sub(now).Milliseconds(); ms != unknownTime {
 		return ms
 	}
 	return 1
 }
 
-func moment(now time.Time, ms int64) time.Time {
-	if ms == unknown {
+func timeFromMillis(now time.Time, ms int64) time.Time {
+	if ms == unknownTime {
 		return time.Time{}
 	}
 	return now.Add(time.Duration(ms) * time.Millisecond)
 }
 
-func (o *ask) wire(now time.Time) wireAsk {
+func (o *request) wire(now time.Time) wireRequest {
 	c := &o.call
-	return wireAsk{
+	return wireRequest{
 		ID: o.id, Group: o.group.wire(), Hops: o.hops, Prompt: c.Ask.Prompt, Output: c.Ask.Output, Pause: float32(c.Ask.Pause),
-		Arrived: until(now, c.Ask.Arrived), Objective: until(now, c.Ask.Objective), Deadline: until(now, c.Ask.Deadline),
-		Leaves: until(now, c.Ask.Leaves), Stop: until(now, c.Stop),
+		Arrived: millisUntil(now, c.Ask.Arrived), Objective: millisUntil(now, c.Ask.Objective), Deadline: millisUntil(now, c.Ask.Deadline),
+		Leaves: millisUntil(now, c.Ask.Leaves), Stop: millisUntil(now, c.Stop),
 		Priority: c.Priority, Team: c.Team, Zone: c.Zone, Tried: c.Ask.Tried, Avoid: c.Avoid,
 	}
 }
 
-func (w *wireAsk) call(now time.Time) scheduler.Call {
+func (w *wireRequest) call(now time.Time) scheduler.Call {
 	return scheduler.Call{
-		Priority: w.Priority, Team: w.Team, Zone: w.Zone, Avoid: w.Avoid, Stop: moment(now, w.Stop),
+		Priority: w.Priority, Team: w.Team, Zone: w.Zone, Avoid: w.Avoid, Stop: timeFromMillis(now, w.Stop),
 		Ask: placer.Ask{
-			Prompt: w.Prompt, Output: w.Output, Pause: float64(w.Pause), Arrived: moment(now, w.Arrived), Objective: moment(now, w.Objective),
-			Deadline: moment(now, w.Deadline), Leaves: moment(now, w.Leaves), Tried: w.Tried,
+			Prompt: w.Prompt, Output: w.Output, Pause: float64(w.Pause), Arrived: timeFromMillis(now, w.Arrived), Objective: timeFromMillis(now, w.Objective),
+			Deadline: timeFromMillis(now, w.Deadline), Leaves: timeFromMillis(now, w.Leaves), Tried: w.Tried,
 		},
 	}
 }
 
-// wireUpstream is an upstream of a place, and the memory set aside there.
+// wireUpstream is an upstream of a placement, and the memory in tokens to be
+// set aside there.
 type wireUpstream struct {
 	_           struct{} `cbor:",toarray"`
 	ID, Address string
@@ -138,7 +147,7 @@
 	Main           wireUpstream
 	Helpers        []wireUpstream
 	Read, Estimate float32
-	// Streams, Context and Unread are the work at the main upstream.
+	// Streams, Context and Unread are the load of the main upstream.
 	Streams, Context int
 	Unread           float32
 	Long             bool
@@ -153,34 +162,34 @@
 	Waits []uint32
 }
 
-type wireElsewhere struct {
+type wireOtherZone struct {
 	_    struct{} `cbor:",toarray"`
 	ID   uint64
 	Zone string
 }
 
-// wirePlace is what a place takes.
-type wirePlace struct {
+// wirePlacement describes the capacity that a placement uses.
+type wirePlacement struct {
 	_              struct{} `cbor:",toarray"`
 	ID             uint64
 	Group          wireGroup
 	Prompt, Output int
 	Pause, Read    float32
-	Long, Began    bool
+	Long, Started  bool
 	Main           string
 	Helpers        []string
 	Tokens         []int
 }
 
-func (p *Placement) wire() wirePlace {
+func (p *Placement) wire() wirePlacement {
 	w := &p.work
-	return wirePlace{
+	return wirePlacement{
 		ID: p.id, Group: p.group.wire(), Prompt: w.Prompt, Output: w.Output, Pause: float32(w.Pause), Read: float32(w.Read),
-		Long: w.Long, Began: p.began, Main: w.Main, Helpers: w.Helpers, Tokens: w.Tokens,
+		Long: w.Long, Started: p.started, Main: w.Main, Helpers: w.Helpers, Tokens: w.Tokens,
 	}
 }
 
-func (w *wirePlace) work() scheduler.Work {
+func (w *wirePlacement) work() scheduler.Work {
 	return scheduler.Work{
 		Prompt: w.Prompt, Output: w.Output, Pause: float64(w.Pause), Read: float64(w.Read), Long: w.Long,
 		Main: w.Main, Helpers: w.Helpers, Tokens: w.Tokens,
@@ -194,7 +203,7 @@
 	For       int64
 }
 
-func wireOf(e tracker.Event) wireEvent {
+func newWireEvent(e tracker.Event) wireEvent {
 	return wireEvent{Finding: int(e.Finding), Upstreams: e.Upstreams, For: e.For.Milliseconds()}
 }
 
@@ -202,7 +211,8 @@
 	return tracker.Event{Finding: tracker.Finding(w.Finding), Upstreams: w.Upstreams, For: time.Duration(w.For) * time.Millisecond}
 }
 
-// wireLimit is what an upstream has said of its limit, and how many milliseconds ago.
+// wireLimit is the rate limit that an upstream has named, and its age in
+// milliseconds.
 type wireLimit struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream string
@@ -211,7 +221,7 @@
 	Age      int64
 }
 
-func limitOf(now time.Time, upstream string, l tracker.Limit) wireLimit {
+func newWireLimit(now time.Time, upstream string, l tracker.Limit) wireLimit {
 	return wireLimit{Upstream: upstream, Limited: l.Limited, Rate: l.Rate, Age: max(0, now.Sub(l.AsOf).Milliseconds())}
 }
 
@@ -219,17 +229,18 @@
 	return tracker.Limit{Limited: w.Limited, Rate: w.Rate, AsOf: now.Add(-time.Duration(max(0, w.Age)) * time.Millisecond)}
 }
 
-// wireSummary is a group's state.
+// wireSummary is the load of a group.
 type wireSummary struct {
-	_       struct{} `cbor:",toarray"`
-	Group   wireGroup
-	Engines int
-	Free    int
-	Reading float32
+	_         struct{} `cbor:",toarray"`
+	Group     wireGroup
+	Engines   int
+	FreeSlots int
+	ReadTime  float32
 }
 
-// wireWaits are waits in milliseconds, by reason.
-func wireWaits(w scheduler.Waits) []uint32 {
+// encodeWaits encodes waiting times in milliseconds by reason, without trailing
+// zeros.
+func encodeWaits(w scheduler.Waits) []uint32 {
 	out := make([]uint32, 0, len(w))
 	last := 0
 	for i, d := range w {
@@ -241,7 +252,7 @@
 	return out[:last]
 }
 
-func waitsOf(wire []uint32) (w scheduler.Waits) {
+func decodeWaits(wire []uint32) (w scheduler.Waits) {
 	for i := range min(len(wire), len(w)) {
 		w[i] = time.Duration(wire[i]) * time.Millisecond
 	}
--- a/entry/process/allocator/network_test.go
+++ b/entry/process/allocator/network_test.go
@@ -23,23 +23,27 @@
 	Step: 1.02, PerStream: 0.00226, PerContext: 0.00431, ReadRate: 206, Pairs: 0.138,
 }
 
-// soon is in what time a request has a place that is free: a leader that begins to
-// lead first hears the others, and looks then with its next tick.
-const soon = 60 * time.Millisecond
+// placementTime is the time within which a request gets a free slot. A new
+// leader first collects the other VMs' reports and then places at its next
+// tick.
+const placementTime = 60 * time.Millisecond
 
-// A network carries datagrams between VMs, with a clock that a test sets.
+// A network carries datagrams between VMs, on a simulated clock.
 type network struct {
-	t     testing.TB
-	now   time.Time
-	vms   []*vm
-	queue []datagram
-	// blocked are ways that lose everything.
+	t        testing.TB
+	now      time.Time
+	vms      []*vm
+	inFlight []datagram
+	// blocked holds the paths, as sender and receiver, on which all datagrams
+	// are lost.
 	blocked map[[2]int]bool
-	// spoil may drop, repeat or delay a datagram, by what it gives.
-	spoil func(datagram) []datagram
-	sent  int
-	// passed says that a VM has passed a leader by, so that two may have led.
-	passed bool
+	// tamper returns what is delivered in place of a datagram, which may thus
+	// be dropped, duplicated or delayed.
+	tamper func(datagram) []datagram
+	sent   int
+	// leaderSkipped reports whether any VM has skipped a leader; two VMs may
+	// then have led at the same time.
+	leaderSkipped bool
 }
 
 type datagram struct {
@@ -48,19 +52,19 @@
 	data     []byte
 }
 
-// A vm is one VM.
+// A vm is a VM with its Allocator.
 type vm struct {
 	*allocator.Allocator
-	network *network
-	index   int
-	member  allocator.Member
-	tracker *tracker.Tracker
-	service *matcher.Service
-	frozen  bool
-	dead    bool
-	late    []datagram
-	// unheard are those that it takes for dead.
-	unheard map[int]bool
+	network  *network
+	index    int
+	member   allocator.Member
+	tracker  *tracker.Tracker
+	service  *matcher.Service
+	frozen   bool
+	dead     bool
+	buffered []datagram
+	// unreachable holds the VMs that this one considers dead.
+	unreachable map[int]bool
 }
 
 func address(i int) netip.AddrPort {
@@ -71,50 +75,51 @@
 	n := v.network
 	n.sent++
 	d := datagram{n.now.Add(time.Millisecond), v.index, int(to.Addr().As4()[3]) - 1, slices.Clone(data)}
-	if n.spoil != nil {
-		n.queue = append(n.queue, n.spoil(d)...)
+	if n.tamper != nil {
+		n.inFlight = append(n.inFlight, n.tamper(d)...)
 		return nil
 	}
-	n.queue = append(n.queue, d)
+	n.inFlight = append(n.inFlight, d)
 	return nil
 }
 
-// Count notes that a VM has passed its leader by.
+// Count records whether the VM has skipped its leader.
 func (v *vm) Count(name string, _ int64) {
-	v.network.passed = v.network.passed || name == "leaders.suspected"
+	v.network.leaderSkipped = v.network.leaderSkipped || name == "leaders.suspected"
 }
 
-// Subscribe is never called back: a test calls Tick itself.
+// Subscribe never calls back, as run calls Tick itself.
 func (v *vm) Subscribe(time.Duration, func(time.Time)) (stop func()) { return func() {} }
 
 func (v *vm) members() []allocator.Member {
 	var all []allocator.Member
 	for _, o := range v.network.vms {
-		if o != v && !v.unheard[o.index] {
+		if o != v && !v.unreachable[o.index] {
 			all = append(all, o.member)
 		}
 	}
 	return all
 }
 
-// newNetwork has VMs in zones, and upstreams in the same ones.
+// newNetwork returns a network of VMs in the given zones, with upstreams spread
+// over the same zones.
 func newNetwork(t testing.TB, zones []string, upstreams int) *network {
 	n := &network{t: t, now: time.Unix(1_000_000, 0), blocked: map[[2]int]bool{}}
 	for i, zone := range zones {
-		v := &vm{network: n, index: i, tracker: tracker.New(), unheard: map[int]bool{}, service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}}
-		// The first is the strongest, so that a test knows who leads.
+		v := &vm{network: n, index: i, tracker: tracker.New(), unreachable: map[int]bool{}, service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}}
+		// The first VM has the most cores, so that tests know which VM leads.
 		v.member = allocator.Member{VM: "vm" + strconv.Itoa(i), Address: address(i), Zone: zone, Cores: 2 - float64(i)/8}
 		n.vms = append(n.vms, v)
 		n.start(v, 1)
 	}
 	for i := range upstreams {
-		n.list("u"+strconv.Itoa(i), zones[i%len(zones)])
+		n.addUpstream("u"+strconv.Itoa(i), zones[i%len(zones)])
 	}
 	return n
 }
 
-// list lists an upstream on all VMs.
-func (n *network) list(id, zone string) {
+// addUpstream adds an upstream to the lists of all VMs.
+func (n *network) addUpstream(id, zone string) {
 	for _, v := range n.vms {
 		v.tracker.Put(n.now, tracker.Upstream{ID: id, Service: "s", Address: "127.0.0.1:1", Zone: zone, Slots: 2})
 	}
@@ -136,7 +141,7 @@
 	})
 }
 
-// run lets time pass.
+// run advances the clock.
 func (n *network) run(d time.Duration) {
 	const step = time.Millisecond
 	for end := n.now.Add(d); n.now.Before(end); {
@@ -151,29 +156,30 @@
 }
 
 func (n *network) deliver() {
-	queue := n.queue
-	n.queue = nil
+	queue := n.inFlight
+	n.inFlight = nil
 	for _, d := range queue {
 		v := n.vms[d.to]
 		switch {
 		case d.at.After(n.now):
-			n.queue = append(n.queue, d)
+			n.inFlight = append(n.inFlight, d)
 		case n.blocked[[2]int{d.from, d.to}] || v.dead:
 		case v.frozen:
-			v.late = append(v.late, d)
+			v.buffered = append(v.buffered, d)
 		default:
 			v.Receive(address(d.from), d.data)
 		}
 	}
 }
 
-// thaw wakes a VM: what came meanwhile comes now.
-func (n *network) thaw(v *vm) {
+// unfreeze resumes a VM, which then receives the datagrams that arrived while
+// it was frozen.
+func (n *network) unfreeze(v *vm) {
 	v.frozen = false
-	for _, d := range v.late {
+	for _, d := range v.buffered {
 		v.Receive(address(d.from), d.data)
 	}
-	v.late = nil
+	v.buffered = nil
 }
 
 func (n *network) call() scheduler.Call {
@@ -182,8 +188,9 @@
 	}}
 }
 
-// place asks a VM for a place, which must come within a time.
-func (n *network) place(v int, within time.Duration) *allocator.Placement {
+// acquire requests a placement at a VM and fails the test unless it is granted
+// in time.
+func (n *network) acquire(v int, within time.Duration) *allocator.Placement {
 	n.t.Helper()
 	o := n.vms[v].Submit(n.call())
 	for end := n.now.Add(within); ; n.run(time.Millisecond) {
@@ -192,12 +199,13 @@
 			return p
 		}
 		if !n.now.Before(end) {
-			n.t.Fatalf("no place within %v", within)
+			n.t.Fatalf("no placement within %v", within)
 		}
 	}
 }
 
-// streams are what a VM counts at upstreams as a leader.
+// streams returns the number of streams that a VM counts at all upstreams as a
+// leader.
 func (v *vm) streams() int {
 	sum := 0
 	for _, l := range v.Loads() {
@@ -206,18 +214,19 @@
 	return sum
 }
 
-// spoiled loses, repeats and delays datagrams by chance.
-func spoiled(draw *rand.Rand, lost float64) func(datagram) []datagram {
+// lossy returns a tamper function that randomly drops, duplicates and delays
+// datagrams.
+func lossy(rng *rand.Rand, lost float64) func(datagram) []datagram {
 	return func(d datagram) []datagram {
 		var out []datagram
 		for range 2 {
-			if draw.Float64() < lost {
+			if rng.Float64() < lost {
 				continue
 			}
-			again := d
-			again.at = again.at.Add(time.Duration(draw.IntN(30)) * time.Millisecond)
-			out = append(out, again)
-			if draw.Float64() > lost {
+			delayed := d
+			delayed.at = delayed.at.Add(time.Duration(rng.IntN(30)) * time.Millisecond)
+			out = append(out, delayed)
+			if rng.Float64() > lost {
 				break
 			}
 		}
--- a/entry/process/allocator/overflow.go
+++ b/entry/process/allocator/overflow.go
@@ -8,50 +8,55 @@
 )
 
 const (
-	// summaryEvery is how often leaders tell those of the service's other groups
-	// how much is under way, and freshSummary how old such news may be.
-	summaryEvery = restEvery
-	freshSummary = time.Second
-	// spareSlots is the part of a group's slots that must be free, as one over
-	// this, where short prompts of another group are sent there.
-	spareSlots = 4
-	// lessReading is the difference in reading time for each engine, in
+	// summaryInterval is how often a leader sends the load of its group to the
+	// leaders of the service's other groups, and maxSummaryAge the age above
+	// which a summary is ignored.
+	summaryInterval = idleTickInterval
+	maxSummaryAge   = time.Second
+	// freeSlotsDivisor sets the fraction of a group's slots,
+	// 1/freeSlotsDivisor, that must be free before short prompts of another
+	// group are sent there.
+	freeSlotsDivisor = 4
+	// minReadTimeGain is the difference in read time per engine, in
 	// milliseconds, from which a long prompt is sent to another group.
-	lessReading = 150.0
+	minReadTimeGain = 150.0
 )
 
-// A summary is how much is under way in a group.
+// A summary is the load of a group.
 type summary struct {
 	engines int
-	// free are its slots that are, reading the reading time in milliseconds that
-	// is before each engine, of what waits too.
-	free    int
-	reading float64
-	at      time.Time
+	// freeSlots is the number of free slots. readTime is the time in
+	// milliseconds that each engine needs on average to read the prompts
+	// assigned to the group, including those that wait.
+	freeSlots int
+	readTime  float64
+	at        time.Time
 }
 
-// summarise tells the leaders of a service's other groups of those that this VM
-// leads, also where nobody asks it. Without it a zone whose callers all come at once would refuse them
-// beside idle engines of another.
-func (a *Allocator) summarise(now time.Time) {
-	if now.Sub(a.summedAt) < summaryEvery {
+// sendSummaries sends the load of each group that this VM leads to the leaders
+// of the service's other groups, including groups that get no requests. Without
+// the summaries, a zone that receives all callers at once would refuse requests
+// while engines in another zone are idle.
+func (a *Allocator) sendSummaries(now time.Time) {
+	if now.Sub(a.summariesSentAt) < summaryInterval {
 		return
 	}
-	a.summedAt = now
-	for service := range a.split {
+	a.summariesSentAt = now
+	for service := range a.splitByZone {
 		zones := a.deps.Tracker.Sizes(service)
 		for zone := range zones {
-			if g := (Group{service, zone}); a.leads(now, g) {
-				a.share(now, a.schedulerOf(g), zones)
+			if g := (Group{service, zone}); a.isLeader(now, g) {
+				a.sendSummary(now, a.ledGroupOf(g), zones)
 			}
 		}
 	}
-	a.relieve(now)
+	a.rebalance(now)
 }
 
-// share tells the leaders of a service's other zones of one group.
-func (a *Allocator) share(now time.Time, l *led, zones map[string]int) {
-	sum := a.summary(now, l)
+// sendSummary sends the load of one group to the leaders of the service's other
+// groups.
+func (a *Allocator) sendSummary(now time.Time, l *ledGroup, zones map[string]int) {
+	sum := a.summaryOf(now, l)
 	g := l.group
 	a.summaries[g] = &sum
 	for zone := range zones {
@@ -59,12 +64,12 @@
 		if zone == g.Zone || self {
 			continue
 		}
-		out := a.to(m.Address)
-		out.Summaries = append(out.Summaries, wireSummary{Group: g.wire(), Engines: sum.engines, Free: sum.free, Reading: float32(sum.reading)})
+		out := a.outgoingTo(m.Address)
+		out.Summaries = append(out.Summaries, wireSummary{Group: g.wire(), Engines: sum.engines, FreeSlots: sum.freeSlots, ReadTime: float32(sum.readTime)})
 	}
 }
 
-func (a *Allocator) summary(now time.Time, l *led) summary {
+func (a *Allocator) summaryOf(now time.Time, l *ledGroup) summary {
 	sum := summary{at: now}
 	work := l.scheduler.Work()
 	for _, u := range a.deps.Tracker.Usable(now, l.group.Service) {
@@ -72,87 +77,88 @@
 			continue
 		}
 		sum.engines++
-		sum.free += max(0, u.Slots-work[u.ID].Streams)
-		sum.reading += work[u.ID].Unread
+		sum.freeSlots += max(0, u.Slots-work[u.ID].Streams)
+		sum.readTime += work[u.ID].Unread
 	}
-	sum.reading += l.scheduler.Reading()
+	sum.readTime += l.scheduler.Reading()
 	if sum.engines > 0 {
-		sum.reading /= float64(sum.engines)
+		sum.readTime /= float64(sum.engines)
 	}
 	return sum
 }
 
-// better is the zone of a group with room for a request that has none in this
-// one. What is sent there counts at once, so that not all that wait follow one
-// summary.
-func (a *Allocator) better(now time.Time, l *led, c scheduler.Call, hops int) (zone string, ok bool) {
+// betterZone returns a zone whose group has capacity for a request that has to
+// wait in this group. The summary is updated at once for each request that is
+// sent there, so that not all waiting requests follow the same summary.
+func (a *Allocator) betterZone(now time.Time, l *ledGroup, c scheduler.Call, hops int) (zone string, ok bool) {
 	g := l.group
-	if g.Zone == "" || hops >= mostHops {
+	if g.Zone == "" || hops >= maxHops {
 		return "", false
 	}
-	here := a.summary(now, l)
+	here := a.summaryOf(now, l)
 	e := c.Service.Engine
 	long := e != nil && !placer.Short(e, c.Ask.Prompt)
 	var best *summary
 	for other, s := range a.summaries {
-		if other.Service != g.Service || other.Zone == g.Zone || now.Sub(s.at) > freshSummary || s.engines == 0 {
+		if other.Service != g.Service || other.Zone == g.Zone || now.Sub(s.at) > maxSummaryAge || s.engines == 0 {
 			continue
 		}
-		if !here.yields(s, long, slotsOf(c)) {
+		if !here.shouldYieldTo(s, long, slotsOf(c)) {
 			continue
 		}
-		if best == nil || (long && s.reading < best.reading) || (!long && s.free > best.free) {
+		if best == nil || (long && s.readTime < best.readTime) || (!long && s.freeSlots > best.freeSlots) {
 			best, zone = s, other.Zone
 		}
 	}
 	if best == nil {
 		return "", false
 	}
-	best.free--
+	best.freeSlots--
 	if e != nil {
-		best.reading += placer.Read(e, c.Ask.Prompt, 1) / float64(best.engines)
+		best.readTime += placer.Read(e, c.Ask.Prompt, 1) / float64(best.engines)
 	}
 	a.count("asks.elsewhere")
 	return zone, true
 }
 
-// relieve sends those that wait in a group to others that have room by now.
-func (a *Allocator) relieve(now time.Time) {
-	for at, h := range a.holders {
-		for id, o := range h.asks {
-			if zone, ok := a.better(now, o.led, o.call, o.hops); ok {
-				a.drop(h, id, o)
-				out := a.to(at)
-				out.Elsewhere = append(out.Elsewhere, wireElsewhere{ID: id, Zone: zone})
+// rebalance moves waiting requests to groups that now have capacity.
+func (a *Allocator) rebalance(now time.Time) {
+	for at, h := range a.clients {
+		for id, o := range h.requests {
+			if zone, ok := a.betterZone(now, o.group, o.call, o.hops); ok {
+				a.cancelRequest(h, id, o)
+				out := a.outgoingTo(at)
+				out.OtherZones = append(out.OtherZones, wireOtherZone{ID: id, Zone: zone})
 			}
 		}
 	}
-	for _, id := range a.open() {
-		o, ok := a.asks[id]
+	for _, id := range a.requestIDs() {
+		o, ok := a.requests[id]
 		if !ok || o.local == nil {
 			continue
 		}
-		if l, leads := a.led[o.group]; leads {
-			if zone, ok := a.better(now, l, o.call, o.hops); ok {
-				a.divert(now, o, zone)
+		if l, leads := a.ledGroups[o.group]; leads {
+			if zone, ok := a.betterZone(now, l, o.call, o.hops); ok {
+				a.moveToZone(now, o, zone)
 			}
 		}
 	}
 }
 
-// yields says that a request had better be asked for in another group.
-func (s *summary) yields(o *summary, long bool, slots int) bool {
+// shouldYieldTo reports whether a request should move from the group of s to
+// that of o.
+func (s *summary) shouldYieldTo(o *summary, long bool, slots int) bool {
 	switch {
 	case s.engines == 0:
 		return true
 	case long:
-		return o.reading+lessReading <= s.reading
+		return o.readTime+minReadTimeGain <= s.readTime
 	}
-	return o.free*spareSlots >= o.engines*slots && o.free >= 2*s.free
+	return o.freeSlots*freeSlotsDivisor >= o.engines*slots && o.freeSlots >= 2*s.freeSlots
 }
 
-// slotsOf is how many slots an upstream of a request's service has; one where the
-// configuration does not say.
+// slotsOf returns the number of slots of an upstream of the requested service;
+// 1 if the configuration does not specify it.
 func slotsOf(c scheduler.Call) int {
 	if c.Service.Engine != nil {
 		return max(1, c.Service.Engine.Slots)
--- a/entry/process/allocator/place.go
+++ b/entry/process/allocator/place.go
@@ -10,86 +10,91 @@
 	"github.com/heathervane/heathervane/entry/request/placer"
 )
 
-// A Placement is a place at upstreams.
+// A Placement is the capacity reserved for one request at its upstreams.
 type Placement struct {
 	Upstream tracker.Upstream
 	Helpers  []scheduler.Helper
 	// Estimate is the estimated time to the first event in milliseconds, and
-	// Load the work at the upstream when it was chosen.
+	// Load the load of the upstream when it was chosen.
 	Estimate float64
 	Load     placer.Load
-	// Waits is how long it was waited for, and why.
+	// Waits is how long the request waited, by reason.
 	Waits scheduler.Waits
-	// Leader is who gave it; empty where this VM did.
+	// Leader is the VM that granted the placement; empty if this VM did.
 	Leader string
 
-	from      netip.AddrPort
-	allocator *Allocator
-	id        uint64
-	group     Group
-	work      scheduler.Work
-	began     bool
-	ended     bool
-	// grant is what this VM's own scheduler counts of it.
+	leaderAddress netip.AddrPort
+	allocator     *Allocator
+	id            uint64
+	group         Group
+	work          scheduler.Work
+	started       bool
+	released      bool
+	// grant is the local scheduler's record of the placement; nil if only
+	// another VM counts it.
 	grant *scheduler.Grant
 }
 
-// MarkStarted notes that the first event came.
+// MarkStarted records that the first event of the response has arrived.
 func (p *Placement) MarkStarted() {
-	p.allocator.do(func(now time.Time) {
-		if p.began || p.ended {
+	p.allocator.locked(func(now time.Time) {
+		if p.started || p.released {
 			return
 		}
-		p.began = true
+		p.started = true
 		if p.grant != nil {
 			p.grant.Began()
 		}
-		p.report(now, func(m *message) { m.Began = append(m.Began, p.id) })
+		p.notifyLeaders(now, func(m *message) { m.Started = append(m.Started, p.id) })
 	})
 }
 
-// Release gives the place back. It may be called more than once.
+// Release releases the placement. It may be called more than once.
 func (p *Placement) Release() {
-	p.allocator.do(func(now time.Time) {
-		if p.ended {
+	p.allocator.locked(func(now time.Time) {
+		if p.released {
 			return
 		}
-		p.ended = true
-		delete(p.allocator.places, p.id)
+		p.released = true
+		delete(p.allocator.placements, p.id)
 		if p.grant != nil {
 			p.grant.Done()
 		}
-		p.report(now, func(m *message) { m.Ended = append(m.Ended, p.id) })
+		p.notifyLeaders(now, func(m *message) { m.Released = append(m.Released, p.id) })
 	})
 }
 
-// report tells whoever counts the place: who gave it, and who leads now.
-func (p *Placement) report(now time.Time, say func(*message)) {
-	if p.from.IsValid() {
-		say(p.allocator.to(p.from))
+// notifyLeaders adds an entry to the messages to all VMs that count the
+// placement: the one that granted it and the current leaders.
+func (p *Placement) notifyLeaders(now time.Time, add func(*message)) {
+	if p.leaderAddress.IsValid() {
+		add(p.allocator.outgoingTo(p.leaderAddress))
 	}
-	for _, at := range p.allocator.countedBy(now, p.group) {
-		if at != p.from {
-			say(p.allocator.to(at))
+	for _, at := range p.allocator.leadersOf(now, p.group) {
+		if at != p.leaderAddress {
+			add(p.allocator.outgoingTo(at))
 		}
 	}
 }
 
-// deputyFor is how long a VM that has said that it leads counts as doing so.
-const deputyFor = tellAgain * 3 / 2
+// actingLeaderTimeout is how long a VM counts as an acting leader after its
+// last announcement.
+const actingLeaderTimeout = announceInterval * 3 / 2
 
-// mostDeputies bounds how many such VMs a group has: each report goes to all.
-const mostDeputies = 3
+// maxActingLeaders limits the acting leaders of a group, since each report is
+// sent to all of them.
+const maxActingLeaders = 3
 
-// depute notes that a VM leads a group in place of another.
-func (a *Allocator) depute(now time.Time, g Group, at netip.AddrPort) {
-	all := a.deputies[g]
+// addActingLeader records that a VM leads a group in place of the first-ranked
+// one. Beyond maxActingLeaders the one that expires first is dropped.
+func (a *Allocator) addActingLeader(now time.Time, g Group, at netip.AddrPort) {
+	all := a.actingLeaders[g]
 	if all == nil {
 		all = make(map[netip.AddrPort]time.Time)
-		a.deputies[g] = all
+		a.actingLeaders[g] = all
 	}
-	all[at] = now.Add(deputyFor)
-	for len(all) > mostDeputies {
+	all[at] = now.Add(actingLeaderTimeout)
+	for len(all) > maxActingLeaders {
 		first := at
 		for o, until := range all {
 			if until.Before(all[first]) {
@@ -100,17 +105,18 @@
 	}
 }
 
-// countedBy are the VMs that count the places of a group: its leader, and those that
-// lead in place of it for VMs that do not hear it. Told by the first only, what
-// these count would go stale while it is still right for others.
-func (a *Allocator) countedBy(now time.Time, g Group) []netip.AddrPort {
+// leadersOf returns the VMs to which a group's placements are reported: its
+// leader, and those that lead in place of it for VMs that cannot reach it. If
+// only the VM that granted a placement got reports, the counts of the others
+// would become stale while other VMs still rely on them.
+func (a *Allocator) leadersOf(now time.Time, g Group) []netip.AddrPort {
 	var all []netip.AddrPort
 	if m, self := a.leader(now, g); !self {
 		all = append(all, m.Address)
 	}
-	for at, until := range a.deputies[g] {
+	for at, until := range a.actingLeaders[g] {
 		if now.After(until) {
-			delete(a.deputies[g], at)
+			delete(a.actingLeaders[g], at)
 			continue
 		}
 		if !slices.Contains(all, at) {
@@ -120,63 +126,64 @@
 	return all
 }
 
-// keptEvery is how often leaders are told of all places that a VM has from them:
-// reports may be lost.
-const keptEvery = 500 * time.Millisecond
+// reportInterval is how often the leaders get the list of all placements that
+// this VM holds, as single reports may be lost.
+const reportInterval = 500 * time.Millisecond
 
-// lastReports is how often a leader is told that there is no place any more: one word
-// may be lost, and a place that it has just heard of is not given back at once.
-const lastReports = 3
+// emptyReports is how often a leader is told that this VM holds no placements
+// any more. A single report may be lost, and a placement that the leader has
+// only just recorded is not released by the first.
+const emptyReports = 3
 
-// keep tells leaders of all places.
-func (a *Allocator) keep(now time.Time) {
-	if now.Sub(a.keptAt) < keptEvery {
+// reportPlacements sends the leaders the list of all placements.
+func (a *Allocator) reportPlacements(now time.Time) {
+	if now.Sub(a.reportedAt) < reportInterval {
 		return
 	}
-	a.keptAt = now
-	before := a.reported
-	a.reported = make(map[netip.AddrPort]int)
-	told := make(map[toldGroup]bool)
-	for _, p := range a.places {
-		if a.leads(now, p.group) {
+	a.reportedAt = now
+	previous := a.reportsLeft
+	a.reportsLeft = make(map[netip.AddrPort]int)
+	limitsSent := make(map[reportTarget]bool)
+	for _, p := range a.placements {
+		if a.isLeader(now, p.group) {
 			a.adopt(p)
 		}
-		for _, at := range a.countedBy(now, p.group) {
-			out := a.to(at)
-			out.Kept, out.Whole = append(out.Kept, p.id), true
-			a.reported[at] = lastReports
-			if t := (toldGroup{at, p.group}); !told[t] {
-				told[t] = true
-				a.tellLimits(now, at, p.group)
+		for _, at := range a.leadersOf(now, p.group) {
+			out := a.outgoingTo(at)
+			out.Held, out.HeldComplete = append(out.Held, p.id), true
+			a.reportsLeft[at] = emptyReports
+			if t := (reportTarget{at, p.group}); !limitsSent[t] {
+				limitsSent[t] = true
+				a.sendLimits(now, at, p.group)
 			}
 		}
 	}
-	for at, left := range before {
-		if _, told := a.reported[at]; told {
+	for at, remaining := range previous {
+		if _, reported := a.reportsLeft[at]; reported {
 			continue
 		}
-		a.to(at).Whole = true
-		if left > 1 {
-			a.reported[at] = left - 1
+		a.outgoingTo(at).HeldComplete = true
+		if remaining > 1 {
+			a.reportsLeft[at] = remaining - 1
 		}
 	}
 }
 
-// A toldGroup is a VM that is told what is known in a group.
-type toldGroup struct {
+// A reportTarget is a VM that gets reports for a group.
+type reportTarget struct {
 	at    netip.AddrPort
 	group Group
 }
 
-// tell tells a VM of all places in a group that it begins to lead, and of the limits
-// there.
-func (a *Allocator) tell(to netip.AddrPort, g Group) {
-	a.tellLimits(a.deps.Now(), to, g)
-	out := a.to(to)
-	out.Told = append(out.Told, g.wire())
-	for _, p := range a.places {
+// reportGroup reports this VM's placements and the known limits in a group to a
+// VM that starts leading it.
+func (a *Allocator) reportGroup(to netip.AddrPort, g Group) {
+	a.sendLimits(a.deps.Now(), to, g)
+	out := a.outgoingTo(to)
+	out.ReportedGroups = append(out.ReportedGroups, g.wire())
+	for _, p := range a.placements {
 		if p.group == g {
-			out.Places = append(out.Places, p.wire())
+			out.Placements = append(out.Placements, p.wire())
 		}
 	}
 }
--- a/entry/process/allocator/replay_test.go
+++ b/entry/process/allocator/replay_test.go
@@ -10,34 +10,35 @@
 	"github.com/heathervane/heathervane/entry/process/allocator"
 )
 
-// A visit is callers that come, leave and end at two VMs, with datagrams that are lost,
-// late, repeated and out of order, all drawn from one seed.
-type visit struct {
-	n       *network
-	draw    *rand.Rand
-	waiting []*allocator.Pending
-	open    []*allocator.Placement
+// A session is a random sequence of callers that come, give up and finish at
+// two VMs, while datagrams are lost, delayed, duplicated and reordered. It is
+// determined by its seed.
+type session struct {
+	n          *network
+	rng        *rand.Rand
+	waiting    []*allocator.Pending
+	placements []*allocator.Placement
 }
 
-func newVisit(t testing.TB, seed uint64) *visit {
-	draw := rand.New(rand.NewPCG(seed, 7))
+func newSession(t testing.TB, seed uint64) *session {
+	rng := rand.New(rand.NewPCG(seed, 7))
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
-	n.spoil = spoiled(draw, draw.Float64()*0.3)
-	return &visit{n: n, draw: draw}
+	n.tamper = lossy(rng, rng.Float64()*0.3)
+	return &session{n: n, rng: rng}
 }
 
-func (v *visit) step() {
-	switch v.draw.IntN(4) {
+func (v *session) step() {
+	switch v.rng.IntN(4) {
 	case 0, 1:
-		v.waiting = append(v.waiting, v.n.vms[1+v.draw.IntN(2)].Submit(v.n.call()))
+		v.waiting = append(v.waiting, v.n.vms[1+v.rng.IntN(2)].Submit(v.n.call()))
 	case 2:
-		if len(v.open) > 0 {
-			i := v.draw.IntN(len(v.open))
-			if v.draw.IntN(2) == 0 {
-				v.open[i].MarkStarted()
+		if len(v.placements) > 0 {
+			i := v.rng.IntN(len(v.placements))
+			if v.rng.IntN(2) == 0 {
+				v.placements[i].MarkStarted()
 			}
-			v.open[i].Release()
-			v.open = append(v.open[:i], v.open[i+1:]...)
+			v.placements[i].Release()
+			v.placements = append(v.placements[:i], v.placements[i+1:]...)
 		}
 	case 3:
 		if len(v.waiting) > 0 {
@@ -45,47 +46,50 @@
 			v.waiting = v.waiting[1:]
 		}
 	}
-	for range 1 + v.draw.IntN(60) {
+	for range 1 + v.rng.IntN(60) {
 		v.n.run(time.Millisecond)
-		v.settle()
+		v.collectReplies()
 	}
 }
 
-func (v *visit) settle() {
-	var still []*allocator.Pending
+func (v *session) collectReplies() {
+	var remaining []*allocator.Pending
 	for _, o := range v.waiting {
 		p, r := o.Poll()
 		if p != nil {
-			v.open = append(v.open, p)
+			v.placements = append(v.placements, p)
 		}
 		if p == nil && r == nil {
-			still = append(still, o)
+			remaining = append(remaining, o)
 		}
 	}
-	v.waiting = still
+	v.waiting = remaining
 }
 
-// end has all leave and end, on a network that loses nothing any more.
-func (v *visit) end() {
-	v.n.spoil = nil
+// finish cancels and releases everything on a network that no longer loses
+// datagrams.
+func (v *session) finish() {
+	v.n.tamper = nil
 	for _, o := range v.waiting {
 		_ = o.Cancel()
 	}
-	for _, p := range v.open {
+	for _, p := range v.placements {
 		p.Release()
 	}
 }
 
-// A VM that another leader gave a place, whose word that it waits no more was lost, got
-// a second one that hid the first: an engine kept a request that nobody had.
-func TestSecondPlaceOfARequestHidesNoOther(t *testing.T) {
+// A VM got a placement from another leader, and its message that the request no
+// longer waits was lost. The first leader then granted a second placement,
+// which replaced the record of the first one, so that an engine kept a request
+// that nobody had.
+func TestDuplicatePlacementOfARequestIsReleased(t *testing.T) {
 	const seeds = 400
 	for seed := range uint64(seeds) {
-		v := newVisit(t, seed)
-		for range 10 + v.draw.IntN(50) {
+		v := newSession(t, seed)
+		for range 10 + v.rng.IntN(50) {
 			v.step()
 		}
-		v.end()
+		v.finish()
 		v.n.run(2 * time.Second)
 		assert.Equal(t, v.n.vms[0].streams(), 0, "seed %d", seed)
 	}
--- a/entry/process/allocator/restart_test.go
+++ b/entry/process/allocator/restart_test.go
@@ -7,41 +7,44 @@
 	"gotest.tools/v3/assert"
 )
 
-// answers is in what time a leader has heard all others, where none is lost.
-const answers = 8 * time.Millisecond
+// collectTime is the time within which a new leader gets the reports of all
+// other VMs if none is lost.
+const collectTime = 8 * time.Millisecond
 
-// A leader that has just begun waits no longer than until all VMs have told what they
-// have: after a restart of all, each change of the leader would cost every caller
-// the whole time.
-func TestLeaderPlacesOnceAllHaveTold(t *testing.T) {
+// A new leader must place requests as soon as all VMs have reported. If it
+// always waited for the timeout, each change of leader after a restart of all
+// VMs would delay every caller by that time.
+func TestLeaderPlacesOnceAllHaveReported(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z", "z"}, 2)
-	n.place(2, answers)
+	n.acquire(2, collectTime)
 }
 
-// A VM whose word is lost must not stop the group.
-func TestLeaderPlacesWithoutALostWord(t *testing.T) {
+// A VM whose report is lost must not block the group.
+func TestLeaderPlacesWithoutALostReport(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z", "z"}, 2)
 	n.blocked[[2]int{3, 0}] = true
-	n.place(2, soon)
+	n.acquire(2, placementTime)
 }
 
-// A place that the last leader gave while the next one began must be known to that
-// one at once: it would take the engine for idle until the next whole report.
-func TestPlaceOfTheLastLeaderIsCountedByTheNext(t *testing.T) {
+// A placement that the previous leader granted while the next one was taking
+// over must be known to the next one at once. Otherwise it would consider the
+// engine idle until the next full report.
+func TestPlacementOfThePreviousLeaderIsCounted(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
-	n.vms[2].unheard[0] = true
+	n.vms[2].unreachable[0] = true
 	o := n.vms[2].Submit(n.call())
-	n.vms[2].unheard[0] = false
-	n.run(answers)
+	n.vms[2].unreachable[0] = false
+	n.run(collectTime)
 	p, _ := o.Poll()
 	assert.Assert(t, p != nil)
 	assert.Equal(t, p.Leader, "vm1")
 	assert.Equal(t, n.vms[0].streams(), 1)
 }
 
-// A leader that starts together with those that ask it has no list for some
-// milliseconds. It must not be skipped for the next second, in which two would lead.
-func TestLeaderThatStartsIsNotSkipped(t *testing.T) {
+// A leader that starts at the same time as the VMs that use it has no list of
+// upstreams for some milliseconds. It must not be skipped for the next second,
+// in which two VMs would lead.
+func TestStartingLeaderIsNotSkipped(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
 	n.vms[0].tracker.Outdate(true)
 	o := n.vms[1].Submit(n.call())
@@ -51,33 +54,34 @@
 	p, _ := o.Poll()
 	assert.Assert(t, p != nil)
 	assert.Equal(t, p.Leader, "vm0")
-	assert.Assert(t, !n.passed)
+	assert.Assert(t, !n.leaderSkipped)
 }
 
-// A leader whose list is too old long after its start is no use to anybody.
-func TestLeaderWithoutAListIsSkippedLater(t *testing.T) {
+// A leader whose list is outdated long after its start must be skipped.
+func TestLeaderWithAnOutdatedListIsSkipped(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
 	n.run(time.Second)
 	n.vms[0].tracker.Outdate(true)
-	p := n.place(2, soon)
+	p := n.acquire(2, placementTime)
 	assert.Equal(t, p.Leader, "vm1")
 }
 
-// A report of a place comes after that of its end. An engine would seem to have a
-// request that has ended, until the VM is taken for lost.
-func TestReportThatComesAfterThePlacesEndIsNotCounted(t *testing.T) {
+// The report of a placement arrives after the report of its release. If it were
+// counted, the engine would seem to have a request until the VM is considered
+// lost.
+func TestLateReportOfAReleasedPlacementIsIgnored(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
-	n.vms[2].unheard[0] = true
+	n.vms[2].unreachable[0] = true
 	o := n.vms[2].Submit(n.call())
-	n.vms[2].unheard[0] = false
+	n.vms[2].unreachable[0] = false
 	late := true
-	n.spoil = func(d datagram) []datagram {
+	n.tamper = func(d datagram) []datagram {
 		if late && d.from == 2 && d.to == 0 {
 			d.at = d.at.Add(30 * time.Millisecond)
 		}
 		return []datagram{d}
 	}
-	n.run(answers)
+	n.run(collectTime)
 	p, _ := o.Poll()
 	assert.Assert(t, p != nil)
 	late = false
@@ -86,13 +90,13 @@
 	assert.Equal(t, n.vms[0].streams(), 0)
 }
 
-// The report of a place's end is lost, and so is the next whole report.
-func TestLostWordsOfAPlacesEndAreRepaired(t *testing.T) {
+// The report of a placement's release is lost, and so is the next full report.
+func TestLostReleaseReportsAreRepaired(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
-	p := n.place(2, answers)
+	p := n.acquire(2, collectTime)
 	n.run(time.Second)
 	lost := true
-	n.spoil = func(d datagram) []datagram {
+	n.tamper = func(d datagram) []datagram {
 		if lost && d.from == 2 && d.to == 0 {
 			return nil
 		}
--- a/entry/process/allocator/usual.go
+++ b/entry/process/allocator/usual.go
@@ -2,29 +2,31 @@
 
 import "github.com/heathervane/heathervane/entry/request/placer"
 
-// weight is that of one place in the mean of what upstreams have under way.
-const weight = 0.05
+// smoothingFactor is the weight of a new placement in the moving averages.
+const smoothingFactor = 0.05
 
-// A usual is what an upstream has under way in the mean when it is chosen.
-type usual struct {
+// An averageLoad is the moving average of the load of upstreams at the time
+// they are chosen.
+type averageLoad struct {
 	streams, context float64
-	// stake is that of the requests whose callers bear the shortest pause: most
-	// streams are theirs.
-	pause float64
-	stake placer.Stakes
+	// shortestPause is the shortest pause that any request tolerated, and stake
+	// the stake of requests with that pause: most streams belong to them.
+	shortestPause float64
+	stake         placer.Stakes
 }
 
-// note adds the upstream of one place, and what the request has at stake.
-func (u *usual) note(l placer.Load, a placer.Ask) {
-	u.streams += weight * (float64(l.Streams) - u.streams)
-	u.context += weight * (float64(l.Context) - u.context)
-	if u.pause == 0 || a.Pause <= u.pause {
-		u.pause, u.stake = a.Pause, a.Stake()
+// add includes the load of the upstream chosen for a request, and the request's
+// stake.
+func (u *averageLoad) add(l placer.Load, a placer.Ask) {
+	u.streams += smoothingFactor * (float64(l.Streams) - u.streams)
+	u.context += smoothingFactor * (float64(l.Context) - u.context)
+	if u.shortestPause == 0 || a.Pause <= u.shortestPause {
+		u.shortestPause, u.stake = a.Pause, a.Stake()
 	}
 }
 
-// load is that as a load.
-func (u *usual) load() (l placer.Load) {
+// load converts the average to a placer.Load.
+func (u *averageLoad) load() (l placer.Load) {
 	l.Streams, l.Context = int(u.streams), int(u.context)
 	for i, n := range u.stake {
 		l.Stakes[i] = n * int32(l.Streams)
