--- a/entry/process/allocator/allocator.go
+++ b/entry/process/allocator/allocator.go
@@ -144,7 +144,7 @@
 		ledGroups: make(map[Group]*ledGroup), clients: make(map[netip.AddrPort]*client), summaries: make(map[Group]*summary),
 		outgoing: make(map[netip.AddrPort]*message), actingLeaders: make(map[Group]map[netip.AddrPort]time.Time),
 	}
-	d.Tracker.Listen(a.reportEvent)
+	d.Tracker.SetListener(a.reportEvent)
 	d.Timer.Subscribe(idleTickInterval, a.Tick)
 	return a
 }
@@ -164,7 +164,7 @@
 func (a *Allocator) adjustTicks(now time.Time) {
 	busy := len(a.requests) > 0
 	for _, l := range a.ledGroups {
-		busy = busy || l.scheduler.Waiting() > 0
+		busy = busy || l.scheduler.QueueLength() > 0
 	}
 	switch {
 	case busy && a.stopFastTicks == nil:
@@ -280,14 +280,14 @@
 
 func (a *Allocator) dispatch() {
 	for _, l := range a.ledGroups {
-		l.scheduler.Pump()
+		l.scheduler.Dispatch()
 	}
 }
 
 // reportEvent sends the leader what this VM's requests have observed at an
 // upstream.
 func (a *Allocator) reportEvent(e tracker.Event) {
-	if len(e.Upstreams) == 0 || e.Finding == tracker.FoundAnswering {
+	if len(e.Upstreams) == 0 || e.Finding == tracker.FoundAnswer {
 		// The leader learns this from the report that the placement has
 		// started.
 		return
@@ -316,9 +316,9 @@
 		a.leaving, a.stopsAt = true, stop
 		a.handOver(now)
 		for _, o := range a.requests {
-			o.call.Stop = stop
+			o.call.StopsAt = stop
 			if o.local != nil {
-				o.local.Stop(stop)
+				o.local.SetStop(stop)
 				continue
 			}
 			a.send(now, o)
@@ -362,7 +362,7 @@
 	defer a.mu.Unlock()
 	all := make(map[string]placer.Load)
 	for _, l := range a.ledGroups {
-		for id, w := range l.scheduler.Work() {
+		for id, w := range l.scheduler.Loads() {
 			sum := all[id]
 			sum.Add(w)
 			all[id] = sum
@@ -394,13 +394,13 @@
 // zoneSizes decides whether a service's upstreams are grouped by zone, and
 // returns the number of its usable upstreams in each zone.
 func (a *Allocator) zoneSizes(service string) map[string]int {
-	switch listed := a.deps.Tracker.Listed(service); {
+	switch listed := a.deps.Tracker.CountListed(service); {
 	case listed > maxGroupSize:
 		a.splitByZone[service] = true
 	case listed < minSplitSize && listed > 0:
 		delete(a.splitByZone, service)
 	}
-	return a.deps.Tracker.Sizes(service)
+	return a.deps.Tracker.CountUsableByZone(service)
 }
 
 // isLeader reports whether this VM considers itself the leader of a group.
@@ -415,13 +415,13 @@
 		l = &ledGroup{group: g}
 		l.scheduler = scheduler.New(g.Zone, scheduler.Deps{
 			Tracker: a.deps.Tracker, Now: a.deps.Now,
-			ColdPart: func(upstream string, rate float64) int {
+			ColdQuota: func(upstream string, rate float64) int {
 				if a.deps.Now().Before(l.coldAllowedAt) {
 					return 0
 				}
 				return a.deps.ColdStartQuota(upstream, rate, !l.localOnly)
 			},
-			LimitPart: func(rate float64) float64 { return a.limitShare(l, rate) },
+			RateQuota: func(rate float64) float64 { return a.limitShare(l, rate) },
 		})
 		a.ledGroups[g] = l
 	}
--- a/entry/process/allocator/allocator_test.go
+++ b/entry/process/allocator/allocator_test.go
@@ -165,7 +165,7 @@
 	n.vms[1].Drain(n.now.Add(150 * time.Millisecond))
 	n.run(150 * time.Millisecond)
 	_, refusal := waits.Poll()
-	assert.Assert(t, refusal != nil && refusal.Code == scheduler.Late, "%v", refusal)
+	assert.Assert(t, refusal != nil && refusal.Code == scheduler.CodeLate, "%v", refusal)
 }
 
 // A VM dies while it holds placements. If they were still counted, engines
@@ -195,7 +195,7 @@
 // second is over.
 func TestNewLeaderDelaysColdStartPlacements(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z"}, 1)
-	n.vms[0].tracker.TurnedCold(n.now, "u0", time.Minute)
+	n.vms[0].tracker.ReportCold(n.now, "u0", time.Minute)
 	waits := n.vms[1].Submit(n.call())
 	n.run(time.Second)
 	p, _ := waits.Poll()
@@ -209,9 +209,9 @@
 // which spares the other VMs' requests the same failure.
 func TestEventsReachTheLeader(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z"}, 2)
-	n.vms[1].tracker.Failed(n.now, "u0", true)
+	n.vms[1].tracker.ReportFailure(n.now, "u0", true)
 	n.run(10 * time.Millisecond)
-	assert.DeepEqual(t, n.vms[0].tracker.Silent(n.now), []string{"u0"})
+	assert.DeepEqual(t, n.vms[0].tracker.Unreachable(n.now), []string{"u0"})
 }
 
 // All callers come to one of three zones, and it has few engines. Requests must
@@ -237,7 +237,7 @@
 	}
 	assert.Assert(t, zones["a"] >= 6 && zones["b"]+zones["c"] >= 4, "%v", zones)
 	for _, v := range n.vms {
-		v.tracker.TakeOut(map[string]bool{"a": true})
+		v.tracker.SetDisabledZones(map[string]bool{"a": true})
 	}
 	assert.Assert(t, n.acquire(0, 100*time.Millisecond).Upstream.Zone != "a")
 }
@@ -252,7 +252,7 @@
 	}
 	n.acquire(1, placementTime)
 	for _, v := range n.vms {
-		v.tracker.TakeOut(map[string]bool{"a": true})
+		v.tracker.SetDisabledZones(map[string]bool{"a": true})
 	}
 	assert.Equal(t, n.acquire(3, placementTime).Leader, "vm1")
 
@@ -277,7 +277,7 @@
 	n.blocked[[2]int{1, 0}] = true
 	for i := range 3 * 66 {
 		if i%2 == 0 {
-			n.vms[0].tracker.Failed(n.now, "x"+string(rune('A'+i%66)), true)
+			n.vms[0].tracker.ReportFailure(n.now, "x"+string(rune('A'+i%66)), true)
 		}
 	}
 	n.acquire(1, placementTime)
@@ -304,7 +304,7 @@
 	n.acquire(1, placementTime)
 	n.run(500 * time.Millisecond)
 	for i := 0; i < 66; i += 2 {
-		n.vms[0].tracker.Failed(n.now, "x"+string(rune('A'+i)), true)
+		n.vms[0].tracker.ReportFailure(n.now, "x"+string(rune('A'+i)), true)
 	}
 	n.run(250 * time.Millisecond)
 	lost := 0
--- a/entry/process/allocator/answer.go
+++ b/entry/process/allocator/answer.go
@@ -18,8 +18,8 @@
 		w := &m.Refusals[i]
 		if o := a.requestAt(from, w.ID); o != nil {
 			delete(a.requests, o.id)
-			refusal := &scheduler.Refusal{Code: w.Code, After: time.Duration(w.After) * time.Millisecond, Waits: decodeWaits(w.Waits)}
-			refusal.Waits.Add(now.Sub(o.submitted))
+			refusal := &scheduler.Refusal{Code: w.Code, RetryAfter: time.Duration(w.After) * time.Millisecond, WaitTimes: decodeWaits(w.Waits)}
+			refusal.WaitTimes.AddRemainder(now.Sub(o.submitted))
 			o.outcome <- outcome{refusal: refusal}
 		}
 	}
@@ -89,17 +89,17 @@
 	delete(a.requests, o.id)
 	p := &Placement{
 		Upstream: a.resolveUpstream(w.Main), Estimate: float64(w.Estimate), Leader: vm, Waits: decodeWaits(w.Waits), leaderAddress: from,
-		Load: placer.Load{Streams: w.Streams, Context: w.Context, Unread: float64(w.Unread)},
-		work: scheduler.Work{
-			Prompt: o.call.Ask.Prompt, Output: o.call.Ask.Output, Pause: o.call.Ask.Pause, Read: float64(w.Read), Long: w.Long, Main: w.Main.ID,
+		Load: placer.Load{Streams: w.Streams, ContextTokens: w.Context, PendingPrefill: float64(w.Unread)},
+		work: scheduler.Workload{
+			Prompt: o.call.Requirements.Prompt, Output: o.call.Requirements.Output, MaxPause: o.call.Requirements.MaxPause, Prefill: float64(w.Read), Long: w.Long, Main: w.Main.ID,
 		},
 	}
-	p.Waits.Add(now.Sub(o.submitted))
-	a.typicalLoad.add(p.Load, o.call.Ask)
+	p.Waits.AddRemainder(now.Sub(o.submitted))
+	a.typicalLoad.add(p.Load, o.call.Requirements)
 	for _, h := range w.Helpers {
-		p.Helpers = append(p.Helpers, scheduler.Helper{Upstream: a.resolveUpstream(h), Tokens: h.Tokens})
+		p.Helpers = append(p.Helpers, scheduler.Helper{Upstream: a.resolveUpstream(h), ReservedTokens: h.Tokens})
 		p.work.Helpers = append(p.work.Helpers, h.ID)
-		p.work.Tokens = append(p.work.Tokens, h.Tokens)
+		p.work.ReservedTokens = append(p.work.ReservedTokens, h.Tokens)
 	}
 	a.deliver(now, o, p)
 }
--- a/entry/process/allocator/asker.go
+++ b/entry/process/allocator/asker.go
@@ -45,7 +45,7 @@
 // A request is an allocation request of this VM that waits for a placement.
 type request struct {
 	id    uint64
-	call  scheduler.Call
+	call  scheduler.Request
 	group Group
 	// hops counts the moves to another group, silentLeaders the leaders that
 	// did not answer this request.
@@ -53,7 +53,7 @@
 	// leader is the address of the leader to which the request was sent; local
 	// is set if this VM schedules it itself.
 	leader    netip.AddrPort
-	local     *scheduler.Asked
+	local     *scheduler.Pending
 	submitted time.Time
 	// firstSent and lastSent are when the request was first and last sent to
 	// this leader; confirmed is when the leader last confirmed that it waits
@@ -69,7 +69,7 @@
 
 // Acquire waits until the call is granted a placement or refused. It withdraws
 // the call if ctx is done first.
-func (a *Allocator) Acquire(ctx context.Context, c scheduler.Call) (*Placement, *scheduler.Refusal) {
+func (a *Allocator) Acquire(ctx context.Context, c scheduler.Request) (*Placement, *scheduler.Refusal) {
 	o := a.Submit(c)
 	select {
 	case r := <-o.request.outcome:
@@ -86,13 +86,13 @@
 }
 
 // Submit requests a placement without waiting for it.
-func (a *Allocator) Submit(c scheduler.Call) *Pending {
+func (a *Allocator) Submit(c scheduler.Request) *Pending {
 	o := &request{call: c, outcome: make(chan outcome, 1)}
 	a.locked(func(now time.Time) {
 		a.lastID++
 		o.id, o.submitted = a.lastID, now
-		o.call.Zone, o.call.Stop = a.me.Zone, a.stopsAt
-		o.call.Avoid = a.deps.Tracker.Silent(now)
+		o.call.Zone, o.call.StopsAt = a.me.Zone, a.stopsAt
+		o.call.Unreachable = a.deps.Tracker.Unreachable(now)
 		o.group = a.initialGroup(c.Service.Name, a.me.Zone)
 		a.requests[o.id] = o
 		a.send(now, o)
@@ -114,11 +114,11 @@
 // Cancel withdraws the request because its caller has gone or its time is over.
 func (o *Pending) Cancel() *scheduler.Refusal {
 	a := o.allocator
-	refusal := &scheduler.Refusal{Code: scheduler.Late, After: retryAfter}
+	refusal := &scheduler.Refusal{Code: scheduler.CodeLate, RetryAfter: retryAfter}
 	a.locked(func(now time.Time) {
 		if _, ok := a.requests[o.request.id]; ok {
-			refusal.Waits = a.withdraw(o.request)
-			refusal.Waits.Add(now.Sub(o.request.submitted))
+			refusal.WaitTimes = a.withdraw(o.request)
+			refusal.WaitTimes.AddRemainder(now.Sub(o.request.submitted))
 			delete(a.requests, o.request.id)
 		}
 	})
@@ -173,7 +173,7 @@
 }
 
 func (o *request) maxSilent() int {
-	if e := o.call.Service.Engine; e != nil && !placer.Short(e, o.call.Ask.Prompt) {
+	if e := o.call.Service.Engine; e != nil && !placer.IsShort(e, o.call.Requirements.Prompt) {
 		return maxSilentLeadersLong
 	}
 	return maxSilentLeaders
@@ -184,14 +184,14 @@
 	l := a.lead(now, o.group, false)
 	l.localOnly = !a.isLeaderOrBackup(o.group)
 	o.leader, o.firstSent = netip.AddrPort{}, now
-	queued := l.scheduler.Ask(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
+	queued := l.scheduler.Submit(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
 		if _, ok := a.requests[o.id]; !ok {
 			if g != nil {
-				g.Done()
+				g.Release()
 			}
 			return
 		}
-		if r != nil && r.Code == scheduler.None {
+		if r != nil && r.Code == scheduler.CodeNoUpstream {
 			if zone, ok := a.betterZone(now, l, o.call, o.hops); ok {
 				a.moveToZone(a.deps.Now(), o, zone)
 				return
@@ -203,8 +203,8 @@
 			return
 		}
 		a.deliver(now, o, &Placement{
-			Upstream: g.Upstream.Upstream, Helpers: g.Helpers, Estimate: g.Estimate, Load: g.Load, Waits: g.Waits,
-			work: g.Work, grant: g,
+			Upstream: g.Upstream.Upstream, Helpers: g.Helpers, Estimate: g.Estimate, Load: g.Load, Waits: g.WaitTimes,
+			work: g.Workload, grant: g,
 		})
 	})
 	if _, waits := a.requests[o.id]; !waits || o.leader.IsValid() || o.local != nil {
@@ -247,9 +247,9 @@
 
 // withdraw cancels a request at the leader or the local scheduler where it
 // waits.
-func (a *Allocator) withdraw(o *request) (w scheduler.Waits) {
+func (a *Allocator) withdraw(o *request) (w scheduler.WaitTimes) {
 	if o.local != nil {
-		w = o.local.Leave()
+		w = o.local.Cancel()
 		o.local = nil
 		return w
 	}
--- a/entry/process/allocator/leader.go
+++ b/entry/process/allocator/leader.go
@@ -58,7 +58,7 @@
 	for i := range members {
 		l.awaited[members[i].Address] = true
 	}
-	l.scheduler.Hold(now.Add(collectTimeout))
+	l.scheduler.PauseUntil(now.Add(collectTimeout))
 }
 
 // reportReceived records a VM's report. After the last one, placement resumes.
@@ -68,8 +68,8 @@
 	}
 	delete(l.awaited, from)
 	if len(l.awaited) == 0 {
-		l.scheduler.Hold(now)
-		l.scheduler.Pump()
+		l.scheduler.PauseUntil(now)
+		l.scheduler.Dispatch()
 	}
 }
 
@@ -90,9 +90,9 @@
 // A remoteRequest is a request of another VM that waits here.
 type remoteRequest struct {
 	group  *ledGroup
-	call   scheduler.Call
+	call   scheduler.Request
 	hops   int
-	queued *scheduler.Asked
+	queued *scheduler.Pending
 	heard  time.Time
 	done   bool
 }
@@ -141,7 +141,7 @@
 			out.CollectGroups = append(out.CollectGroups, g.wire())
 		}
 	}
-	l.scheduler.Assume(a.unreportedLoad(now, l))
+	l.scheduler.AssumeLoad(a.unreportedLoad(now, l))
 	return l
 }
 
@@ -216,7 +216,7 @@
 	placements := h.placements
 	h.placements = make(map[uint64]*heldPlacement)
 	for _, p := range placements {
-		p.grant.Done()
+		p.grant.Release()
 	}
 }
 
@@ -224,7 +224,7 @@
 func (a *Allocator) cancelRequest(h *client, id uint64, o *remoteRequest) {
 	delete(h.requests, id)
 	o.done = true
-	o.queued.Leave()
+	o.queued.Cancel()
 }
 
 // handleRequests handles the fields of a message that are addressed to a
@@ -235,7 +235,7 @@
 		return
 	}
 	for i := range m.Events {
-		a.deps.Tracker.Learn(now, m.Events[i].event())
+		a.deps.Tracker.MergeEvent(now, m.Events[i].event())
 	}
 	a.applyLimits(now, m.Limits)
 	for _, id := range m.Cancelled {
@@ -245,15 +245,15 @@
 	}
 	for _, id := range m.Started {
 		if p, ok := h.placements[id]; ok {
-			p.grant.Began()
-			a.deps.Tracker.Learn(now, tracker.Event{Finding: tracker.FoundAnswering, Upstreams: []string{p.grant.Work.Main}})
+			p.grant.MarkStarted()
+			a.deps.Tracker.MergeEvent(now, tracker.Event{Finding: tracker.FoundAnswer, Upstreams: []string{p.grant.Workload.Main}})
 		}
 	}
 	for _, id := range m.Released {
 		h.released[id] = now
 		if p, ok := h.placements[id]; ok {
 			delete(h.placements, id)
-			p.grant.Done()
+			p.grant.Release()
 		}
 	}
 	for i := range m.Placements {
@@ -309,7 +309,7 @@
 		if !has[id] && now.Sub(p.countedAt) > reportDelay {
 			delete(h.placements, id)
 			a.count("places.repaired")
-			p.grant.Done()
+			p.grant.Release()
 		}
 	}
 }
@@ -320,7 +320,7 @@
 		// The request was resent.
 		o.heard = now
 		if stop := timeFromMillis(now, w.Stop); !stop.IsZero() {
-			o.queued.Stop(stop)
+			o.queued.SetStop(stop)
 		}
 		if !o.done {
 			out := a.outgoingTo(from)
@@ -359,7 +359,7 @@
 	o := &remoteRequest{group: l, call: w.call(now), hops: w.Hops, heard: now}
 	o.call.Service = service
 	h.requests[w.ID] = o
-	o.queued = l.scheduler.Ask(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
+	o.queued = l.scheduler.Submit(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
 		a.reply(from, h, w.ID, o, g, r)
 	})
 	if o.done {
@@ -378,7 +378,7 @@
 func (a *Allocator) reply(from netip.AddrPort, h *client, id uint64, o *remoteRequest, g *scheduler.Grant, r *scheduler.Refusal) {
 	if o.done {
 		if g != nil {
-			g.Done()
+			g.Release()
 		}
 		return
 	}
@@ -387,25 +387,25 @@
 	now := a.deps.Now()
 	out := a.outgoingTo(from)
 	if r != nil {
-		if r.Code == scheduler.None {
+		if r.Code == scheduler.CodeNoUpstream {
 			if zone, ok := a.betterZone(now, o.group, o.call, o.hops); ok {
 				out.OtherZones = append(out.OtherZones, wireOtherZone{ID: id, Zone: zone})
 				return
 			}
 		}
-		out.Refusals = append(out.Refusals, wireRefusal{ID: id, Code: r.Code, After: r.After.Milliseconds(), Waits: encodeWaits(r.Waits)})
+		out.Refusals = append(out.Refusals, wireRefusal{ID: id, Code: r.Code, After: r.RetryAfter.Milliseconds(), Waits: encodeWaits(r.WaitTimes)})
 		return
 	}
 	w := wireGrant{
 		ID: id, Main: wireUpstream{ID: g.Upstream.ID, Address: g.Upstream.Address},
-		Read: float32(g.Work.Read), Estimate: float32(g.Estimate), Long: g.Work.Long,
-		Streams: g.Load.Streams, Context: g.Load.Context, Unread: float32(g.Load.Unread), Waits: encodeWaits(g.Waits),
+		Read: float32(g.Workload.Prefill), Estimate: float32(g.Estimate), Long: g.Workload.Long,
+		Streams: g.Load.Streams, Context: g.Load.ContextTokens, Unread: float32(g.Load.PendingPrefill), Waits: encodeWaits(g.WaitTimes),
 	}
 	for _, p := range g.Helpers {
-		w.Helpers = append(w.Helpers, wireUpstream{ID: p.ID, Address: p.Address, Tokens: p.Tokens})
+		w.Helpers = append(w.Helpers, wireUpstream{ID: p.ID, Address: p.Address, Tokens: p.ReservedTokens})
 	}
 	h.placements[id] = &heldPlacement{grant: g, countedAt: now, sentGrant: &w}
-	a.typicalLoad.add(g.Load, o.call.Ask)
+	a.typicalLoad.add(g.Load, o.call.Requirements)
 	out.Grants = append(out.Grants, w)
 	if l := g.Upstream.Limit; l.Limited {
 		// Without this the VM would not notice when the upstream's responses
--- a/entry/process/allocator/limit.go
+++ b/entry/process/allocator/limit.go
@@ -23,7 +23,7 @@
 func (a *Allocator) limitShare(l *ledGroup, named float64) float64 {
 	heard := 1 + len(a.deps.Members())
 	total := max(heard, a.deps.FleetSize())
-	rate := budgeter.Limit(named) * min(1, partitionFactor*float64(heard)/float64(total))
+	rate := budgeter.EffectiveRate(named) * min(1, partitionFactor*float64(heard)/float64(total))
 	switch {
 	case l.localOnly:
 		return rate * secondaryShare / float64(heard)
@@ -49,7 +49,7 @@
 func (a *Allocator) applyLimits(now time.Time, all []wireLimit) {
 	for i := range all {
 		w := &all[i]
-		if old, changed := a.deps.Tracker.Learned(w.Upstream, w.limit(now)); changed {
+		if old, changed := a.deps.Tracker.MergeLimit(w.Upstream, w.limit(now)); changed {
 			a.deps.Log.Info().Str("upstream", w.Upstream).Bool("limited", w.Limited).Float64("rate", w.Rate).
 				Float64("before", old.Rate).Int64("age", w.Age).Msg("rate limit of upstream changed")
 		}
--- a/entry/process/allocator/limit_test.go
+++ b/entry/process/allocator/limit_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-func (l *limitTest) call() scheduler.Call {
+func (l *limitTest) call() scheduler.Request {
 	c := l.n.call()
 	c.Service = &matcher.Service{Name: "s", Engine: largeEngine}
 	return c
@@ -141,7 +141,7 @@
 			} else if l.informedAt[s.vm].IsZero() {
 				l.informedAt[s.vm] = l.n.now
 			}
-			v.tracker.Limit("u0", limit)
+			v.tracker.ReportLimit("u0", limit)
 		}
 		s.placement.Release()
 	}
--- a/entry/process/allocator/message.go
+++ b/entry/process/allocator/message.go
@@ -116,19 +116,19 @@
 func (o *request) wire(now time.Time) wireRequest {
 	c := &o.call
 	return wireRequest{
-		ID: o.id, Group: o.group.wire(), Hops: o.hops, Prompt: c.Ask.Prompt, Output: c.Ask.Output, Pause: float32(c.Ask.Pause),
-		Arrived: millisUntil(now, c.Ask.Arrived), Objective: millisUntil(now, c.Ask.Objective), Deadline: millisUntil(now, c.Ask.Deadline),
-		Leaves: millisUntil(now, c.Ask.Leaves), Stop: millisUntil(now, c.Stop),
-		Priority: c.Priority, Team: c.Team, Zone: c.Zone, Tried: c.Ask.Tried, Avoid: c.Avoid,
+		ID: o.id, Group: o.group.wire(), Hops: o.hops, Prompt: c.Requirements.Prompt, Output: c.Requirements.Output, Pause: float32(c.Requirements.MaxPause),
+		Arrived: millisUntil(now, c.Requirements.Arrived), Objective: millisUntil(now, c.Requirements.Objective), Deadline: millisUntil(now, c.Requirements.Deadline),
+		Leaves: millisUntil(now, c.Requirements.CallerTimeout), Stop: millisUntil(now, c.StopsAt),
+		Priority: c.Priority, Team: c.Team, Zone: c.Zone, Tried: c.Requirements.Tried, Avoid: c.Unreachable,
 	}
 }
 
-func (w *wireRequest) call(now time.Time) scheduler.Call {
-	return scheduler.Call{
-		Priority: w.Priority, Team: w.Team, Zone: w.Zone, Avoid: w.Avoid, Stop: timeFromMillis(now, w.Stop),
-		Ask: placer.Ask{
-			Prompt: w.Prompt, Output: w.Output, Pause: float64(w.Pause), Arrived: timeFromMillis(now, w.Arrived), Objective: timeFromMillis(now, w.Objective),
-			Deadline: timeFromMillis(now, w.Deadline), Leaves: timeFromMillis(now, w.Leaves), Tried: w.Tried,
+func (w *wireRequest) call(now time.Time) scheduler.Request {
+	return scheduler.Request{
+		Priority: w.Priority, Team: w.Team, Zone: w.Zone, Unreachable: w.Avoid, StopsAt: timeFromMillis(now, w.Stop),
+		Requirements: placer.Request{
+			Prompt: w.Prompt, Output: w.Output, MaxPause: float64(w.Pause), Arrived: timeFromMillis(now, w.Arrived), Objective: timeFromMillis(now, w.Objective),
+			Deadline: timeFromMillis(now, w.Deadline), CallerTimeout: timeFromMillis(now, w.Leaves), Tried: w.Tried,
 		},
 	}
 }
@@ -184,15 +184,15 @@
 func (p *Placement) wire() wirePlacement {
 	w := &p.work
 	return wirePlacement{
-		ID: p.id, Group: p.group.wire(), Prompt: w.Prompt, Output: w.Output, Pause: float32(w.Pause), Read: float32(w.Read),
-		Long: w.Long, Started: p.started, Main: w.Main, Helpers: w.Helpers, Tokens: w.Tokens,
+		ID: p.id, Group: p.group.wire(), Prompt: w.Prompt, Output: w.Output, Pause: float32(w.MaxPause), Read: float32(w.Prefill),
+		Long: w.Long, Started: p.started, Main: w.Main, Helpers: w.Helpers, Tokens: w.ReservedTokens,
 	}
 }
 
-func (w *wirePlacement) work() scheduler.Work {
-	return scheduler.Work{
-		Prompt: w.Prompt, Output: w.Output, Pause: float64(w.Pause), Read: float64(w.Read), Long: w.Long,
-		Main: w.Main, Helpers: w.Helpers, Tokens: w.Tokens,
+func (w *wirePlacement) work() scheduler.Workload {
+	return scheduler.Workload{
+		Prompt: w.Prompt, Output: w.Output, MaxPause: float64(w.Pause), Prefill: float64(w.Read), Long: w.Long,
+		Main: w.Main, Helpers: w.Helpers, ReservedTokens: w.Tokens,
 	}
 }
 
@@ -240,7 +240,7 @@
 
 // encodeWaits encodes waiting times in milliseconds by reason, without trailing
 // zeros.
-func encodeWaits(w scheduler.Waits) []uint32 {
+func encodeWaits(w scheduler.WaitTimes) []uint32 {
 	out := make([]uint32, 0, len(w))
 	last := 0
 	for i, d := range w {
@@ -252,7 +252,7 @@
 	return out[:last]
 }
 
-func decodeWaits(wire []uint32) (w scheduler.Waits) {
+func decodeWaits(wire []uint32) (w scheduler.WaitTimes) {
 	for i := range min(len(wire), len(w)) {
 		w[i] = time.Duration(wire[i]) * time.Millisecond
 	}
--- a/entry/process/allocator/overflow.go
+++ b/entry/process/allocator/overflow.go
@@ -43,7 +43,7 @@
 	}
 	a.summariesSentAt = now
 	for service := range a.splitByZone {
-		zones := a.deps.Tracker.Sizes(service)
+		zones := a.deps.Tracker.CountUsableByZone(service)
 		for zone := range zones {
 			if g := (Group{service, zone}); a.isLeader(now, g) {
 				a.sendSummary(now, a.ledGroupOf(g), zones)
@@ -71,16 +71,16 @@
 
 func (a *Allocator) summaryOf(now time.Time, l *ledGroup) summary {
 	sum := summary{at: now}
-	work := l.scheduler.Work()
+	work := l.scheduler.Loads()
 	for _, u := range a.deps.Tracker.Usable(now, l.group.Service) {
-		if u.Zone != l.group.Zone || now.Before(u.SilentUntil) {
+		if u.Zone != l.group.Zone || now.Before(u.UnreachableUntil) {
 			continue
 		}
 		sum.engines++
 		sum.freeSlots += max(0, u.Slots-work[u.ID].Streams)
-		sum.readTime += work[u.ID].Unread
+		sum.readTime += work[u.ID].PendingPrefill
 	}
-	sum.readTime += l.scheduler.Reading()
+	sum.readTime += l.scheduler.QueuedPrefill()
 	if sum.engines > 0 {
 		sum.readTime /= float64(sum.engines)
 	}
@@ -90,14 +90,14 @@
 // betterZone returns a zone whose group has capacity for a request that has to
 // wait in this group. The summary is updated at once for each request that is
 // sent there, so that not all waiting requests follow the same summary.
-func (a *Allocator) betterZone(now time.Time, l *ledGroup, c scheduler.Call, hops int) (zone string, ok bool) {
+func (a *Allocator) betterZone(now time.Time, l *ledGroup, c scheduler.Request, hops int) (zone string, ok bool) {
 	g := l.group
 	if g.Zone == "" || hops >= maxHops {
 		return "", false
 	}
 	here := a.summaryOf(now, l)
 	e := c.Service.Engine
-	long := e != nil && !placer.Short(e, c.Ask.Prompt)
+	long := e != nil && !placer.IsShort(e, c.Requirements.Prompt)
 	var best *summary
 	for other, s := range a.summaries {
 		if other.Service != g.Service || other.Zone == g.Zone || now.Sub(s.at) > maxSummaryAge || s.engines == 0 {
@@ -115,7 +115,7 @@
 	}
 	best.freeSlots--
 	if e != nil {
-		best.readTime += placer.Read(e, c.Ask.Prompt, 1) / float64(best.engines)
+		best.readTime += placer.PrefillTime(e, c.Requirements.Prompt, 1) / float64(best.engines)
 	}
 	a.count("asks.elsewhere")
 	return zone, true
@@ -159,7 +159,7 @@
 
 // slotsOf returns the number of slots of an upstream of the requested service;
 // 1 if the configuration does not specify it.
-func slotsOf(c scheduler.Call) int {
+func slotsOf(c scheduler.Request) int {
 	if c.Service.Engine != nil {
 		return max(1, c.Service.Engine.Slots)
 	}
--- a/entry/process/allocator/place.go
+++ b/entry/process/allocator/place.go
@@ -19,7 +19,7 @@
 	Estimate float64
 	Load     placer.Load
 	// Waits is how long the request waited, by reason.
-	Waits scheduler.Waits
+	Waits scheduler.WaitTimes
 	// Leader is the VM that granted the placement; empty if this VM did.
 	Leader string
 
@@ -27,7 +27,7 @@
 	allocator     *Allocator
 	id            uint64
 	group         Group
-	work          scheduler.Work
+	work          scheduler.Workload
 	started       bool
 	released      bool
 	// grant is the local scheduler's record of the placement; nil if only
@@ -43,7 +43,7 @@
 		}
 		p.started = true
 		if p.grant != nil {
-			p.grant.Began()
+			p.grant.MarkStarted()
 		}
 		p.notifyLeaders(now, func(m *message) { m.Started = append(m.Started, p.id) })
 	})
@@ -58,7 +58,7 @@
 		p.released = true
 		delete(p.allocator.placements, p.id)
 		if p.grant != nil {
-			p.grant.Done()
+			p.grant.Release()
 		}
 		p.notifyLeaders(now, func(m *message) { m.Released = append(m.Released, p.id) })
 	})
--- a/entry/process/allocator/restart_test.go
+++ b/entry/process/allocator/restart_test.go
@@ -46,10 +46,10 @@
 // in which two VMs would lead.
 func TestStartingLeaderIsNotSkipped(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
-	n.vms[0].tracker.Outdate(true)
+	n.vms[0].tracker.SetOutdated(true)
 	o := n.vms[1].Submit(n.call())
 	n.run(40 * time.Millisecond)
-	n.vms[0].tracker.Outdate(false)
+	n.vms[0].tracker.SetOutdated(false)
 	n.run(40 * time.Millisecond)
 	p, _ := o.Poll()
 	assert.Assert(t, p != nil)
@@ -61,7 +61,7 @@
 func TestLeaderWithAnOutdatedListIsSkipped(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 2)
 	n.run(time.Second)
-	n.vms[0].tracker.Outdate(true)
+	n.vms[0].tracker.SetOutdated(true)
 	p := n.acquire(2, placementTime)
 	assert.Equal(t, p.Leader, "vm1")
 }
--- a/entry/process/allocator/usual.go
+++ b/entry/process/allocator/usual.go
@@ -12,24 +12,24 @@
 	// shortestPause is the shortest pause that any request tolerated, and stake
 	// the stake of requests with that pause: most streams belong to them.
 	shortestPause float64
-	stake         placer.Stakes
+	stake         placer.PauseWeights
 }
 
 // add includes the load of the upstream chosen for a request, and the request's
 // stake.
-func (u *averageLoad) add(l placer.Load, a placer.Ask) {
+func (u *averageLoad) add(l placer.Load, a placer.Request) {
 	u.streams += smoothingFactor * (float64(l.Streams) - u.streams)
-	u.context += smoothingFactor * (float64(l.Context) - u.context)
-	if u.shortestPause == 0 || a.Pause <= u.shortestPause {
-		u.shortestPause, u.stake = a.Pause, a.Stake()
+	u.context += smoothingFactor * (float64(l.ContextTokens) - u.context)
+	if u.shortestPause == 0 || a.MaxPause <= u.shortestPause {
+		u.shortestPause, u.stake = a.MaxPause, a.PauseWeights()
 	}
 }
 
 // load converts the average to a placer.Load.
 func (u *averageLoad) load() (l placer.Load) {
-	l.Streams, l.Context = int(u.streams), int(u.context)
+	l.Streams, l.ContextTokens = int(u.streams), int(u.context)
 	for i, n := range u.stake {
-		l.Stakes[i] = n * int32(l.Streams)
+		l.PauseWeights[i] = n * int32(l.Streams)
 	}
 	return l
 }
--- a/entry/process/joiner/budget.go
+++ b/entry/process/joiner/budget.go
@@ -11,51 +11,51 @@
 type budget struct {
 	process *Process
 	mu      sync.Mutex
-	repeats map[string]*budgeter.Repeats
-	history *budgeter.History
+	repeats map[string]*budgeter.RetryBudget
+	history *budgeter.MemberHistory
 }
 
 func newBudget(v *Process) *budget {
 	s := v.settings.Load()
 	began := time.Now()
-	if s.Together {
+	if s.FleetBootstrap {
 		began = time.Time{}
 	}
 	return &budget{
-		process: v, repeats: make(map[string]*budgeter.Repeats), history: budgeter.NewHistory(s.Bounds.RetryWindow, began),
+		process: v, repeats: make(map[string]*budgeter.RetryBudget), history: budgeter.NewMemberHistory(s.Bounds.RetryWindow, began),
 	}
 }
 
-func (b *budget) of(service string) *budgeter.Repeats {
+func (b *budget) of(service string) *budgeter.RetryBudget {
 	bounds := b.process.settings.Load().Bounds
 	r, ok := b.repeats[service]
 	if !ok {
-		r = budgeter.NewRepeats(bounds.RetryRatio, bounds.RetrySlack, bounds.RetryWindow)
+		r = budgeter.NewRetryBudget(bounds.RetryRatio, bounds.RetrySlack, bounds.RetryWindow)
 		b.repeats[service] = r
 	}
 	r.Ratio, r.Slack = bounds.RetryRatio, bounds.RetrySlack
 	return r
 }
 
-// Sent counts a request's first sending.
-func (b *budget) Sent(service string) {
+// RecordRequest counts a request's first sending.
+func (b *budget) RecordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(service).Sent(time.Now())
 }
 
-// Take asks for a repeat.
-func (b *budget) Take(service string) bool {
+// TakeRetry asks for a repeat.
+func (b *budget) TakeRetry(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.history.Note(now, b.process.gossiper.VMs())
-	return b.of(service).Take(now, b.process.settings.Load().VM, b.history)
+	b.history.Record(now, b.process.gossiper.LiveVMs())
+	return b.of(service).TryRetry(now, b.process.settings.Load().VM, b.history)
 }
 
 // note has the budget know which VMs live, also while it is not asked for.
 func (b *budget) note(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.history.Note(now, b.process.gossiper.VMs())
+	b.history.Record(now, b.process.gossiper.LiveVMs())
 }
--- a/entry/request/relayer/relayer.go
+++ b/entry/request/relayer/relayer.go
@@ -1,11 +1,13 @@
-// Package relayer passes requests of any kind on to upstreams, and their
-// answers back, byte for byte. What may be repeated follows from the route and
-// never from the method. "Not run" is said only where nothing was sent, or the
-// upstream said so: a caller who is told so tries again, and a booking made
-// twice charges a member twice.
+// Package relayer is the reverse proxy of an entry VM. It forwards requests to
+// upstreams, and their responses to callers, byte for byte.
 //
-// How callers and upstreams say things is a Dialect's matter, where a request
-// goes the allocator's.
+// Whether a request may be retried depends on its route, never on its method. A
+// request is reported as not run only if nothing was sent, or if the upstream
+// said that it did not run it: callers retry after such a report, and a booking
+// that ran twice would charge a member twice.
+//
+// A Protocol translates the headers of callers and upstreams, and the allocator
+// chooses the upstreams.
 package relayer
 
 import (
@@ -29,253 +31,265 @@
 )
 
 const (
-	// defaultLimit is how long a request may last where neither its caller nor
-	// its route says.
-	defaultLimit = 30 * time.Second
-	// comeBack is when a request refused for a passing reason may come back.
-	comeBack = 300 * time.Millisecond
-	// mostWhole is the longest answer in bytes that is held whole before its
-	// caller gets a byte, so that a cut one is a truthful failure.
-	mostWhole = 1 << 20
-	// mostRefused is how many upstreams may refuse a request, besides those
-	// that it may run at.
-	mostRefused = 3
-	// startTime is for how long after its start a process has requests wait for the
-	// configuration, and startShare which part of its time each may wait at most,
-	// as one over this.
-	startTime  = time.Second
-	startShare = 8
-	// bodyTime bounds the arrival of a body in a request without a limit.
-	bodyTime = 10 * time.Second
-	// writeSpare is how long after a request's end its answer may still be on
-	// its way to the caller, who may read slowly.
-	writeSpare = time.Second
+	// defaultTimeout limits a request if neither its caller nor its route does.
+	defaultTimeout = 30 * time.Second
+	// retryAfter is when a caller may retry after a refusal for a temporary
+	// reason.
+	retryAfter = 300 * time.Millisecond
+	// maxBufferedBytes is the longest response body that is buffered completely
+	// before anything is sent to the caller, so that a truncated response can
+	// still be reported as an error. It also limits request bodies if the
+	// configuration does not.
+	maxBufferedBytes = 1 << 20
+	// maxDeclines is the number of declines up to which a request is retried.
+	// They do not count towards the attempts that its route allows.
+	maxDeclines = 3
+	// startupWait is how long after the start of the process requests wait for
+	// the first configuration. A request waits for at most its caller's timeout
+	// divided by startupWaitDivisor.
+	startupWait        = time.Second
+	startupWaitDivisor = 8
+	// maxBodyReadTime limits the time for reading a request body if the timeout
+	// of the request is longer.
+	maxBodyReadTime = 10 * time.Second
+	// writeGrace is how long after the deadline of a request its response may
+	// still be written, as callers may read slowly.
+	writeGrace = time.Second
 )
 
-// An Ask is what a caller says of its request.
-type Ask struct {
-	// ID names the request; its upstream's answer bears it.
+// A RequestInfo is what the headers of a caller's request say.
+type RequestInfo struct {
+	// ID identifies the request. Upstreams repeat it in their responses.
 	ID string
-	// Limit is how long the caller waits; 0 where it does not say.
-	Limit time.Duration
-	// Key proves the caller's team.
-	Key string
-	// Prompt and Output are the tokens of the prompt and the most of the
-	// answer.
-	Prompt, Output int
-	// LastEvent is the last event that the caller has of this stream.
-	LastEvent string
+	// Timeout is how long the caller waits; 0 if unknown.
+	Timeout time.Duration
+	// APIKey authenticates the caller's team.
+	APIKey string
+	// PromptTokens is the length of the prompt, MaxOutputTokens the length limit
+	// of the answer.
+	PromptTokens, MaxOutputTokens int
+	// LastEventID is the last event of the stream that the caller has received.
+	LastEventID string
 }
 
-// A Helper is an upstream that reads a part of a prompt, and the name of the
-// memory set aside there, if any is.
+// A Helper is an upstream that processes a part of a prompt. Reservation names
+// the memory reserved for it there; empty if there is none.
 type Helper struct {
-	Address, Memory string
+	Address, Reservation string
 }
 
-// An Onward is what an upstream is told beside the caller's own headers.
-type Onward struct {
-	Left      time.Duration
-	Upstream  string
-	Team      string
-	LastEvent string
-	Helpers   []Helper
-	// Urgent says that the request goes before others at the engine.
-	Urgent bool
+// A ForwardInfo is what an upstream is told in addition to the caller's headers.
+type ForwardInfo struct {
+	TimeLeft    time.Duration
+	Upstream    string
+	Team        string
+	LastEventID string
+	Helpers     []Helper
+	// HighPriority requests are scheduled before others at the engine.
+	HighPriority bool
 }
 
-// A Verdict is what the head of an upstream's answer says.
-type Verdict struct {
-	// ID is the request that is answered; empty where it does not say.
+// A ResponseInfo is what the status and headers of an upstream's response say.
+type ResponseInfo struct {
+	// ID identifies the request that the response belongs to; empty if unknown.
 	ID string
-	// Sealed says that the answer is the upstream's own and complete in
-	// itself; others are broken.
+	// Sealed is true if the response carries the seal that marks it as the
+	// upstream's own and complete in itself. A successful response without a seal
+	// is broken.
 	Sealed bool
-	// NotRun says that the upstream did not run the request and will not.
+	// NotRun is true if the upstream did not run the request and will not.
 	NotRun bool
-	// Misplaced says that another upstream has that address now.
-	Misplaced bool
-	// Fault is the address of the upstream at fault where several worked.
-	Fault string
-	// Cold is how long the upstream stays in cold start.
-	Cold time.Duration
-	// Limited says that the upstream takes no more than Rate requests a second from
-	// all VMs together, for as long as its answers say so.
-	Limited bool
-	Rate    float64
+	// Misdirected is true if another upstream uses the address now.
+	Misdirected bool
+	// FaultyAddress is the upstream that failed if several worked on the request.
+	FaultyAddress string
+	// ColdStart is the remaining time of the upstream's cold start.
+	ColdStart time.Duration
+	// RateLimited is true if the upstream accepts at most RateLimit requests per
+	// second from all VMs together. It applies until a response does not say so.
+	RateLimited bool
+	RateLimit   float64
 }
 
-// A Dialect is how callers and upstreams say things.
-type Dialect interface {
-	Ask(h http.Header) Ask
-	// Onward makes the headers for an upstream from the caller's.
-	Onward(h http.Header, o Onward) http.Header
-	Verdict(status int, h http.Header) Verdict
-	// Event gives the id of an event of a stream; empty where it has none.
-	Event(event []byte) string
+// A Protocol translates the headers and events of callers and upstreams.
+type Protocol interface {
+	ParseRequest(h http.Header) RequestInfo
+	// ForwardHeader returns the headers for an upstream, given the caller's.
+	ForwardHeader(h http.Header, o ForwardInfo) http.Header
+	ParseResponse(status int, h http.Header) ResponseInfo
+	// EventID returns the ID of a stream's event; empty if it has none.
+	EventID(event []byte) string
 }
 
-// A Meter counts.
+// A Meter records metrics.
 type Meter interface {
 	Count(name string, n int64)
 	Time(name string, d time.Duration)
 }
 
-// A Budget bounds repeats in sum over all VMs.
-type Budget interface {
-	Sent(service string)
-	Take(service string) bool
+// A RetryBudget limits the retries of all VMs together. RecordRequest counts the
+// first attempt of a request; TakeRetry reports whether a retry is allowed, and
+// counts it.
+type RetryBudget interface {
+	RecordRequest(service string)
+	TakeRetry(service string) bool
 }
 
-// A Quarantine keeps requests from upstreams that crash whoever runs them, at all
+// A Quarantine keeps requests that crash upstreams from being forwarded, on all
 // VMs.
 type Quarantine interface {
-	// Came says whether a request that has come is held, and after how long without
-	// its coming again it is not; Held is the same later on.
-	Came(f fingerprinter.Fingerprint) (after time.Duration, held bool)
+	// Arrived records the arrival of a request. It reports whether the request is
+	// held, and after how long without a further arrival it no longer will be.
+	// Held reports the same later, without recording anything.
+	Arrived(f fingerprinter.Fingerprint) (after time.Duration, held bool)
 	Held(f fingerprinter.Fingerprint) (after time.Duration, held bool)
-	// Guard gives a context that ends when the request turns out to be held, until
-	// it is released.
-	Guard(ctx context.Context, f fingerprinter.Fingerprint) (guarded context.Context, release func())
-	// Lost notes an upstream that was lost while it ran a request, and says how many
-	// were. Served notes a request that was answered whole.
+	// CancelWhenHeld returns a context that is canceled as soon as the request is
+	// held, until release is called.
+	CancelWhenHeld(ctx context.Context, f fingerprinter.Fingerprint) (guarded context.Context, release func())
+	// Lost records that an upstream was lost while it ran the request, and returns
+	// the number of such losses. Served records a complete response.
 	Lost(f fingerprinter.Fingerprint, upstream string, born int64) (losses int)
 	Served(f fingerprinter.Fingerprint)
 }
 
-// Deps are what a Relayer works with.
+// Deps are the dependencies of a Relayer.
 type Deps struct {
 	Table func() *matcher.Table
-	// Configured is closed once there is a table.
+	// Configured is closed once Table returns a table.
 	Configured <-chan struct{}
-	Dialect    Dialect
-	// Allocator gives places at upstreams.
+	Protocol   Protocol
+	// Allocator grants placements at upstreams.
 	Allocator *allocator.Allocator
 	Tracker   *tracker.Tracker
 	Carrier   *carrier.Carrier
 	Reserver  *reserver.Reserver
-	// Idle is how many idle connections this VM may keep to an upstream of a service
-	// that accepts so many from all VMs, as in carrier.Request.
-	Idle func(connections int, upstream string) int
-	// Prober finds out which upstreams leave where one has declined to help.
-	Prober *prober.Prober
-	Budget Budget
-	// Quarantine knows the requests that crash upstreams.
+	// MaxIdleConns returns how many idle connections this VM may keep to an
+	// upstream that accepts so many connections from all VMs together. The result
+	// is used as carrier.Request.Idle.
+	MaxIdleConns func(connections int, upstream string) int
+	// Prober checks the health of a service's upstreams after one of them has
+	// declined to help, to find those that are leaving.
+	Prober      *prober.Prober
+	RetryBudget RetryBudget
+	// Quarantine holds the requests that crash upstreams.
 	Quarantine Quarantine
-	Bodies     reader.Budget
+	BodyMemory reader.MemoryBudget
 	Meter      Meter
 	Now        func() time.Time
 	Log        zerolog.Logger
-	// Leaving says that this VM is about to stop, and how long it has left.
-	Leaving func() (bool, time.Duration)
+	// ShuttingDown reports whether this VM is about to stop, and the time left.
+	ShuttingDown func() (bool, time.Duration)
 }
 
-// A Relayer passes requests on.
+// A Relayer forwards requests to upstreams.
 type Relayer struct {
-	deps  Deps
-	began time.Time
+	deps      Deps
+	startedAt time.Time
 }
 
 // New returns a Relayer.
-func New(d Deps) *Relayer { return &Relayer{deps: d, began: d.Now()} }
+func New(d Deps) *Relayer { return &Relayer{deps: d, startedAt: d.Now()} }
 
-// A job is one request on its way.
+// A job is the state of one request that is being forwarded.
 type job struct {
-	ask     Ask
-	route   *matcher.Route
-	service *matcher.Service
-	team    *matcher.Team
-	version int64
-	request *http.Request
-	body    *reader.Body
-	// fingerprint names what is asked for, once its body is read.
+	info          RequestInfo
+	route         *matcher.Route
+	service       *matcher.Service
+	team          *matcher.Team
+	configVersion int64
+	request       *http.Request
+	body          *reader.Body
+	// fingerprint identifies the content of the request. It is set once the body
+	// is read.
 	fingerprint fingerprinter.Fingerprint
-	arrived     time.Time
-	// end is when the final answer must be out.
-	end time.Time
-	// tried are the upstreams that failed it, runs those that may have run it,
-	// refused those that said that they did not.
-	tried   []string
-	runs    int
-	refused int
-	// lastEvent is the last event that the caller has, and begun says that it
-	// has the head of its answer.
-	lastEvent string
-	begun     bool
-	trace     trace
+	arrivedAt   time.Time
+	// deadline is when the complete response must have been sent.
+	deadline time.Time
+	// tried lists the upstreams that failed. possibleRuns counts the attempts that
+	// may have run the request. declines counts those that did not: nothing was
+	// sent, or the upstream said so.
+	tried        []string
+	possibleRuns int
+	declines     int
+	// lastEventID is the last event sent to the caller. headerSent is true once
+	// the status and headers were sent.
+	lastEventID string
+	headerSent  bool
+	log         requestLog
 }
 
-// A trace is what the request's log line tells.
-type trace struct {
-	waited time.Duration
-	// waits is why, for the last place.
-	waits scheduler.Waits
-	first time.Duration
-	// pause is the longest time between two events.
-	pause    time.Duration
-	upstream string
-	helpers  []string
-	memory   int
-	estimate float64
-	load     placer.Load
-	// leader is the VM that gave the place; empty where this one did.
+// A requestLog collects fields of the request's log line.
+type requestLog struct {
+	queueTime time.Duration
+	// waits breaks down the wait for the last placement by reason.
+	waits       scheduler.WaitTimes
+	timeToFirst time.Duration
+	// maxPause is the longest time between two events of a stream.
+	maxPause     time.Duration
+	upstream     string
+	helpers      []string
+	reservations int
+	estimate     float64
+	load         placer.Load
+	// leader is the VM that granted the placement; empty if it is this one.
 	leader string
 	cause  string
-	// losses is how many upstreams were lost under the request, as far as this VM
-	// knew after the last of them.
+	// losses is the number of upstreams lost while running the request, as far as
+	// this VM knew after the last of them.
 	losses int
 }
 
-// ServeHTTP passes one request on.
+// ServeHTTP forwards one request.
 func (r *Relayer) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	arrived := r.deps.Now()
 	r.deps.Meter.Count("requests", 1)
-	if leaving, _ := r.deps.Leaving(); leaving {
+	if leaving, _ := r.deps.ShuttingDown(); leaving {
 		w.Header().Set("Connection", "close")
 	}
-	j := &job{ask: r.deps.Dialect.Ask(q.Header), request: q, arrived: arrived}
+	j := &job{info: r.deps.Protocol.ParseRequest(q.Header), request: q, arrivedAt: arrived}
 	if refusal := r.accept(w, j); refusal != nil {
 		r.refuse(w, j, refusal)
 		return
 	}
 	defer j.body.Release()
 	control := http.NewResponseController(w)
-	if err := control.SetWriteDeadline(j.end.Add(writeSpare)); err != nil {
-		r.deps.Log.Warn().Str("id", j.ask.ID).Err(err).Msg("no bound on writing to the caller")
+	if err := control.SetWriteDeadline(j.deadline.Add(writeGrace)); err != nil {
+		r.deps.Log.Warn().Str("id", j.info.ID).Err(err).Msg("could not set the write deadline of the caller's connection")
 	}
-	ctx, cancel := context.WithDeadline(q.Context(), j.end)
+	ctx, cancel := context.WithDeadline(q.Context(), j.deadline)
 	defer cancel()
 	if j.route.Kind == matcher.Stream {
-		r.stream(ctx, w, j)
+		r.serveStream(ctx, w, j)
 		return
 	}
-	r.whole(ctx, w, j)
+	r.serveBuffered(ctx, w, j)
 }
 
-// accept finds out what a request is, or why it is not served.
+// accept resolves and reads a request. It returns a refusal if the request is not
+// to be forwarded.
 func (r *Relayer) accept(w http.ResponseWriter, j *job) *refuser.Refusal {
-	table := r.await(j)
+	table := r.awaitTable(j)
 	if table == nil {
-		return refuser.New(http.StatusServiceUnavailable, "not_ready", "this VM has no configuration yet").Back(comeBack)
+		return refuser.New(http.StatusServiceUnavailable, "not_ready", "this VM has no configuration yet").WithRetryAfter(retryAfter)
 	}
-	j.version = table.Version
-	if refusal := r.identify(table, j); refusal != nil {
+	j.configVersion = table.Version
+	if refusal := r.resolve(table, j); refusal != nil {
 		return refusal
 	}
-	limit := j.route.Timeout
-	if j.ask.Limit > 0 && (limit == 0 || j.ask.Limit < limit) {
-		limit = j.ask.Limit
+	timeout := j.route.Timeout
+	if j.info.Timeout > 0 && (timeout == 0 || j.info.Timeout < timeout) {
+		timeout = j.info.Timeout
 	}
-	if limit == 0 {
-		limit = defaultLimit
+	if timeout == 0 {
+		timeout = defaultTimeout
 	}
-	j.end = j.arrived.Add(limit)
-	if leaving, left := r.deps.Leaving(); leaving && left < r.lasts(j) {
-		return refuser.New(http.StatusServiceUnavailable, "leaving", "this VM is about to stop").Back(comeBack)
+	j.deadline = j.arrivedAt.Add(timeout)
+	if leaving, left := r.deps.ShuttingDown(); leaving && left < r.expectedDuration(j) {
+		return refuser.New(http.StatusServiceUnavailable, "leaving", "this VM is about to stop").WithRetryAfter(retryAfter)
 	}
-	bodies := reader.Reader{Most: table.Limits.Body, Budget: r.deps.Bodies, Patience: min(limit, bodyTime)}
-	if bodies.Most <= 0 {
-		bodies.Most = mostWhole
+	bodies := reader.Reader{MaxBytes: table.Limits.Body, Budget: r.deps.BodyMemory, Timeout: min(timeout, maxBodyReadTime)}
+	if bodies.MaxBytes <= 0 {
+		bodies.MaxBytes = maxBufferedBytes
 	}
 	body, refusal := bodies.Read(w, j.request)
 	if refusal != nil {
@@ -285,26 +299,27 @@
 	j.fingerprint = fingerprinter.Of(&fingerprinter.Request{
 		Team: j.teamName(), Method: j.request.Method, Host: j.request.Host, Target: j.request.RequestURI, Body: body.Data,
 	})
-	if after, held := r.deps.Quarantine.Came(j.fingerprint); held {
-		return quarantined(after)
+	if after, held := r.deps.Quarantine.Arrived(j.fingerprint); held {
+		return quarantineRefusal(after)
 	}
 	return nil
 }
 
-func quarantined(after time.Duration) *refuser.Refusal {
-	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the request has crashed the upstreams that ran it").Back(after)
+func quarantineRefusal(after time.Duration) *refuser.Refusal {
+	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the request has crashed the upstreams that ran it").WithRetryAfter(after)
 }
 
-// await gives the configuration. A process that has just started has it within some
-// tens of milliseconds, and a request that is refused meanwhile is often lost: many
-// callers come back once at most, and all VMs may have started together.
-func (r *Relayer) await(j *job) *matcher.Table {
+// awaitTable returns the configuration, or nil if it does not arrive in time. A
+// process that has just started receives it within some tens of milliseconds.
+// Requests wait for it, as a refusal often loses them: many callers retry at most
+// once, and all VMs may have started together.
+func (r *Relayer) awaitTable(j *job) *matcher.Table {
 	if table := r.deps.Table(); table != nil {
 		return table
 	}
-	left := r.began.Add(startTime).Sub(r.deps.Now())
-	if j.ask.Limit > 0 {
-		left = min(left, j.ask.Limit/startShare)
+	left := r.startedAt.Add(startupWait).Sub(r.deps.Now())
+	if j.info.Timeout > 0 {
+		left = min(left, j.info.Timeout/startupWaitDivisor)
 	}
 	t := time.NewTimer(max(0, left))
 	defer t.Stop()
@@ -316,7 +331,7 @@
 	return r.deps.Table()
 }
 
-func (r *Relayer) identify(table *matcher.Table, j *job) *refuser.Refusal {
+func (r *Relayer) resolve(table *matcher.Table, j *job) *refuser.Refusal {
 	q := j.request
 	route, ok := table.Route(q.Host, q.RequestURI)
 	if !ok {
@@ -324,7 +339,7 @@
 	}
 	j.route = route
 	if table.Guarded() && !route.Anonymous {
-		if j.team, ok = table.Team(j.ask.Key); !ok {
+		if j.team, ok = table.Team(j.info.APIKey); !ok {
 			return refuser.New(http.StatusUnauthorized, "no_key", "the key is not known")
 		}
 	}
@@ -333,32 +348,34 @@
 		j.service, ok = table.Service(name)
 	}
 	if !ok {
-		return refuser.New(http.StatusServiceUnavailable, "no_service", "the route leads to no service").Back(comeBack)
+		return refuser.New(http.StatusServiceUnavailable, "no_service", "the route leads to no service").WithRetryAfter(retryAfter)
 	}
-	j.lastEvent = j.ask.LastEvent
+	j.lastEventID = j.info.LastEventID
 	return nil
 }
 
-// lasts is how long a request is expected to take at most, where a VM that
-// leaves must know whether it still can end it.
-func (r *Relayer) lasts(j *job) time.Duration {
+// expectedDuration estimates the longest duration of a request, for a VM that is
+// about to stop to decide whether it can still finish it.
+func (r *Relayer) expectedDuration(j *job) time.Duration {
 	if j.route.Kind != matcher.Stream || j.service.Engine == nil {
-		return min(j.route.Timeout, usualCall)
+		return min(j.route.Timeout, typicalCallDuration)
 	}
 	e := j.service.Engine
-	pass := placer.Pass(e, e.Slots, e.Memory/usualShare)
-	answer := pass * float64(j.ask.Output) / float64(max(1, e.Stride))
-	return j.route.Objective + time.Duration(answer*float64(time.Millisecond))
+	pass := placer.DecodePassTime(e, e.Slots, e.Memory/typicalMemoryDivisor)
+	decodeTime := pass * float64(j.info.MaxOutputTokens) / float64(max(1, e.Stride))
+	return j.route.Objective + time.Duration(decodeTime*float64(time.Millisecond))
 }
 
-// usualShare is what part of an engine's memory the streams have that run there
-// together, as one over this.
-const usualShare = 4
+// typicalMemoryDivisor is the inverse of the share of an engine's memory that its
+// running streams use together.
+const typicalMemoryDivisor = 4
 
-// usualCall is how long a call of a plain service lasts at most, but for a few.
-const usualCall = 1500 * time.Millisecond
+// typicalCallDuration is longer than all but a few calls of services without
+// engines take.
+const typicalCallDuration = 1500 * time.Millisecond
 
-// priority is the request's rank: its team's, then its route's.
+// priority returns the priority of the request's team if it has one, else that of
+// the route.
 func (j *job) priority() int {
 	if j.team != nil && j.team.Ranked {
 		return j.team.Priority
--- a/entry/request/relayer/watch.go
+++ b/entry/request/relayer/watch.go
@@ -6,47 +6,46 @@
 	"time"
 )
 
-// A watch gives up an upstream that is silent for too long, but only where the
-// request may be sent to another: an upstream's silence alone is no reason to
-// end an answer. It answers upstreams that lose their power, of which no end of
-// the connection tells.
-type watch struct {
+// A watchdog ends an attempt whose upstream is silent for too long, but only if the
+// request may be sent to another one: silence alone is no reason to end a response.
+// It detects upstreams that have lost power, which do not close their connections.
+type watchdog struct {
 	timer *time.Timer
-	// granted says that the watch ended the try, and that its repeat is taken
-	// from the budget.
-	granted atomic.Bool
+	// retryGranted is true once the watchdog has ended the attempt. Its retry was
+	// taken from the budget.
+	retryGranted atomic.Bool
 }
 
-// watch begins a watch over one try; end ends the try.
-func (r *Relayer) watch(j *job, first time.Duration, end context.CancelFunc) *watch {
-	w := &watch{}
-	if !j.route.Repeatable() || j.runs+1 >= j.route.Attempts {
+// startWatchdog starts the watchdog of one attempt, which it ends by calling cancel.
+func (r *Relayer) startWatchdog(j *job, firstTimeout time.Duration, cancel context.CancelFunc) *watchdog {
+	w := &watchdog{}
+	if !j.route.Repeatable() || j.possibleRuns+1 >= j.route.Attempts {
 		return w
 	}
 	service := j.service.Name
-	w.timer = time.AfterFunc(first, func() {
-		// A VM that is about to stop finds no other place that ends in time, and an
-		// answer that was only slow would be cut for nothing.
-		if leaving, left := r.deps.Leaving(); leaving && left < r.lasts(j) {
+	w.timer = time.AfterFunc(firstTimeout, func() {
+		// A VM that is about to stop has no time left for another attempt. Ending
+		// this one could only truncate a response that is merely slow.
+		if leaving, left := r.deps.ShuttingDown(); leaving && left < r.expectedDuration(j) {
 			return
 		}
-		if r.deps.Budget.Take(service) {
+		if r.deps.RetryBudget.TakeRetry(service) {
 			r.deps.Meter.Count("repeats", 1)
-			w.granted.Store(true)
-			end()
+			w.retryGranted.Store(true)
+			cancel()
 		}
 	})
 	return w
 }
 
-// heard begins the wait for the next event.
-func (w *watch) heard(wait time.Duration) {
+// reset restarts the timer, to wait for the next event.
+func (w *watchdog) reset(wait time.Duration) {
 	if w.timer != nil && w.timer.Stop() {
 		w.timer.Reset(wait)
 	}
 }
 
-func (w *watch) stop() {
+func (w *watchdog) stop() {
 	if w.timer != nil {
 		w.timer.Stop()
 	}
