--- a/entry/process/allocator/allocator.go
+++ b/entry/process/allocator/allocator.go
@@ -71,7 +71,7 @@
 	// Members returns the other live VMs.
 	Members func() []Member
 	// FleetSize returns the number of VMs that may exist, including this one
-	// and those that currently cannot be heard.
+	// and those that are currently unreachable.
 	FleetSize func() int
 	// Service looks up a service in the configuration.
 	Service func(name string) (*matcher.Service, bool)
@@ -316,7 +316,7 @@
 		a.leaving, a.stopsAt = true, stop
 		a.handOver(now)
 		for _, o := range a.requests {
-			o.call.StopsAt = stop
+			o.spec.StopsAt = stop
 			if o.local != nil {
 				o.local.SetStop(stop)
 				continue
--- a/entry/process/allocator/answer.go
+++ b/entry/process/allocator/answer.go
@@ -18,7 +18,7 @@
 		w := &m.Refusals[i]
 		if o := a.requestAt(from, w.ID); o != nil {
 			delete(a.requests, o.id)
-			refusal := &scheduler.Refusal{Code: w.Code, RetryAfter: time.Duration(w.After) * time.Millisecond, WaitTimes: decodeWaits(w.Waits)}
+			refusal := &scheduler.Refusal{Code: w.Code, RetryAfter: time.Duration(w.RetryAfter) * time.Millisecond, WaitTimes: decodeWaitTimes(w.Waits)}
 			refusal.WaitTimes.AddRemainder(now.Sub(o.submitted))
 			o.outcome <- outcome{refusal: refusal}
 		}
@@ -62,7 +62,7 @@
 		a.addActingLeader(now, g, from)
 	}
 	for _, w := range m.Summaries {
-		a.summaries[w.Group.group()] = &summary{engines: w.Engines, freeSlots: w.FreeSlots, readTime: float64(w.ReadTime), at: now}
+		a.summaries[w.Group.group()] = &summary{engines: w.Engines, freeSlots: w.FreeSlots, prefillTime: float64(w.PrefillTime), at: now}
 	}
 }
 
@@ -88,18 +88,18 @@
 	}
 	delete(a.requests, o.id)
 	p := &Placement{
-		Upstream: a.resolveUpstream(w.Main), Estimate: float64(w.Estimate), Leader: vm, Waits: decodeWaits(w.Waits), leaderAddress: from,
-		Load: placer.Load{Streams: w.Streams, ContextTokens: w.Context, PendingPrefill: float64(w.Unread)},
-		work: scheduler.Workload{
-			Prompt: o.call.Requirements.Prompt, Output: o.call.Requirements.Output, MaxPause: o.call.Requirements.MaxPause, Prefill: float64(w.Read), Long: w.Long, Main: w.Main.ID,
+		Upstream: a.resolveUpstream(w.Main), Estimate: float64(w.Estimate), Leader: vm, Waits: decodeWaitTimes(w.Waits), leaderAddress: from,
+		Load: placer.Load{Streams: w.Streams, ContextTokens: w.ContextTokens, PendingPrefill: float64(w.PendingPrefill)},
+		workload: scheduler.Workload{
+			Prompt: o.spec.Requirements.Prompt, Output: o.spec.Requirements.Output, MaxPause: o.spec.Requirements.MaxPause, Prefill: float64(w.Prefill), Long: w.Long, Main: w.Main.ID,
 		},
 	}
 	p.Waits.AddRemainder(now.Sub(o.submitted))
-	a.typicalLoad.add(p.Load, o.call.Requirements)
+	a.typicalLoad.add(p.Load, o.spec.Requirements)
 	for _, h := range w.Helpers {
-		p.Helpers = append(p.Helpers, scheduler.Helper{Upstream: a.resolveUpstream(h), ReservedTokens: h.Tokens})
-		p.work.Helpers = append(p.work.Helpers, h.ID)
-		p.work.ReservedTokens = append(p.work.ReservedTokens, h.Tokens)
+		p.Helpers = append(p.Helpers, scheduler.Helper{Upstream: a.resolveUpstream(h), ReservedTokens: h.ReservedTokens})
+		p.workload.Helpers = append(p.workload.Helpers, h.ID)
+		p.workload.ReservedTokens = append(p.workload.ReservedTokens, h.ReservedTokens)
 	}
 	a.deliver(now, o, p)
 }
--- a/entry/process/allocator/asker.go
+++ b/entry/process/allocator/asker.go
@@ -28,7 +28,7 @@
 	maxTickGap = 3 * TickInterval
 	// maxSilentLeaders is the number of leaders that may fail to answer before
 	// a VM decides alone. maxSilentLeadersLong is the same for a prompt that
-	// several engines read in parts, because placing such a prompt without
+	// several engines prefill in parts, because placing such a prompt without
 	// knowing the other VMs' load slows many responses.
 	maxSilentLeaders     = 2
 	maxSilentLeadersLong = 4
@@ -45,7 +45,7 @@
 // A request is an allocation request of this VM that waits for a placement.
 type request struct {
 	id    uint64
-	call  scheduler.Request
+	spec  scheduler.Request
 	group Group
 	// hops counts the moves to another group, silentLeaders the leaders that
 	// did not answer this request.
@@ -87,12 +87,12 @@
 
 // Submit requests a placement without waiting for it.
 func (a *Allocator) Submit(c scheduler.Request) *Pending {
-	o := &request{call: c, outcome: make(chan outcome, 1)}
+	o := &request{spec: c, outcome: make(chan outcome, 1)}
 	a.locked(func(now time.Time) {
 		a.lastID++
 		o.id, o.submitted = a.lastID, now
-		o.call.Zone, o.call.StopsAt = a.me.Zone, a.stopsAt
-		o.call.Unreachable = a.deps.Tracker.Unreachable(now)
+		o.spec.Zone, o.spec.StopsAt = a.me.Zone, a.stopsAt
+		o.spec.Unreachable = a.deps.Tracker.Unreachable(now)
 		o.group = a.initialGroup(c.Service.Name, a.me.Zone)
 		a.requests[o.id] = o
 		a.send(now, o)
@@ -173,7 +173,7 @@
 }
 
 func (o *request) maxSilent() int {
-	if e := o.call.Service.Engine; e != nil && !placer.IsShort(e, o.call.Requirements.Prompt) {
+	if e := o.spec.Service.Engine; e != nil && !placer.IsShort(e, o.spec.Requirements.Prompt) {
 		return maxSilentLeadersLong
 	}
 	return maxSilentLeaders
@@ -184,7 +184,7 @@
 	l := a.lead(now, o.group, false)
 	l.localOnly = !a.isLeaderOrBackup(o.group)
 	o.leader, o.firstSent = netip.AddrPort{}, now
-	queued := l.scheduler.Submit(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
+	queued := l.scheduler.Submit(o.spec, func(g *scheduler.Grant, r *scheduler.Refusal) {
 		if _, ok := a.requests[o.id]; !ok {
 			if g != nil {
 				g.Release()
@@ -192,7 +192,7 @@
 			return
 		}
 		if r != nil && r.Code == scheduler.CodeNoUpstream {
-			if zone, ok := a.betterZone(now, l, o.call, o.hops); ok {
+			if zone, ok := a.betterZone(now, l, o.spec, o.hops); ok {
 				a.moveToZone(a.deps.Now(), o, zone)
 				return
 			}
@@ -204,7 +204,7 @@
 		}
 		a.deliver(now, o, &Placement{
 			Upstream: g.Upstream.Upstream, Helpers: g.Helpers, Estimate: g.Estimate, Load: g.Load, Waits: g.WaitTimes,
-			work: g.Workload, grant: g,
+			workload: g.Workload, grant: g,
 		})
 	})
 	if _, waits := a.requests[o.id]; !waits || o.leader.IsValid() || o.local != nil {
@@ -212,7 +212,7 @@
 		return
 	}
 	o.local = queued
-	if zone, ok := a.betterZone(now, l, o.call, o.hops); ok {
+	if zone, ok := a.betterZone(now, l, o.spec, o.hops); ok {
 		a.moveToZone(now, o, zone)
 	}
 }
--- a/entry/process/allocator/leader.go
+++ b/entry/process/allocator/leader.go
@@ -78,7 +78,7 @@
 type client struct {
 	vm         string
 	boot       int64
-	heard      time.Time
+	lastSeen   time.Time
 	requests   map[uint64]*remoteRequest
 	placements map[uint64]*heldPlacement
 	// released holds the placements that the VM has reported as released, and
@@ -89,12 +89,12 @@
 
 // A remoteRequest is a request of another VM that waits here.
 type remoteRequest struct {
-	group  *ledGroup
-	call   scheduler.Request
-	hops   int
-	queued *scheduler.Pending
-	heard  time.Time
-	done   bool
+	group         *ledGroup
+	spec          scheduler.Request
+	hops          int
+	queued        *scheduler.Pending
+	lastConfirmed time.Time
+	done          bool
 }
 
 // A heldPlacement is a placement that another VM holds.
@@ -164,7 +164,7 @@
 // leader granted.
 func (a *Allocator) adopt(p *Placement) {
 	if p.grant == nil {
-		p.grant = a.ledGroupOf(p.group).scheduler.Adopt(p.work, p.started)
+		p.grant = a.ledGroupOf(p.group).scheduler.Adopt(p.workload, p.started)
 	}
 }
 
@@ -204,7 +204,7 @@
 	if m.Boot < h.boot {
 		return nil
 	}
-	h.heard = now
+	h.lastSeen = now
 	return h
 }
 
@@ -267,7 +267,7 @@
 		}
 		_, released := h.released[w.ID]
 		if _, ok := h.placements[w.ID]; !ok && !released {
-			h.placements[w.ID] = &heldPlacement{grant: a.ledGroupOf(w.Group.group()).scheduler.Adopt(w.work(), w.Started), countedAt: now}
+			h.placements[w.ID] = &heldPlacement{grant: a.ledGroupOf(w.Group.group()).scheduler.Adopt(w.workload(), w.Started), countedAt: now}
 		}
 	}
 	for _, w := range m.ReportedGroups {
@@ -281,7 +281,7 @@
 	for _, id := range m.StillWaiting {
 		out := a.outgoingTo(from)
 		if o, ok := h.requests[id]; ok {
-			o.heard = now
+			o.lastConfirmed = now
 			out.Queued = append(out.Queued, id)
 		} else if p, ok := h.placements[id]; ok && p.sentGrant != nil {
 			out.Grants = append(out.Grants, *p.sentGrant)
@@ -318,8 +318,8 @@
 func (a *Allocator) handleRequest(now time.Time, from netip.AddrPort, h *client, w *wireRequest) {
 	if o, ok := h.requests[w.ID]; ok {
 		// The request was resent.
-		o.heard = now
-		if stop := timeFromMillis(now, w.Stop); !stop.IsZero() {
+		o.lastConfirmed = now
+		if stop := timeFromMillis(now, w.StopsAt); !stop.IsZero() {
 			o.queued.SetStop(stop)
 		}
 		if !o.done {
@@ -356,17 +356,17 @@
 	}
 	l := a.lead(now, g, true)
 	l.localOnly = false
-	o := &remoteRequest{group: l, call: w.call(now), hops: w.Hops, heard: now}
-	o.call.Service = service
+	o := &remoteRequest{group: l, spec: w.spec(now), hops: w.Hops, lastConfirmed: now}
+	o.spec.Service = service
 	h.requests[w.ID] = o
-	o.queued = l.scheduler.Submit(o.call, func(g *scheduler.Grant, r *scheduler.Refusal) {
+	o.queued = l.scheduler.Submit(o.spec, func(g *scheduler.Grant, r *scheduler.Refusal) {
 		a.reply(from, h, w.ID, o, g, r)
 	})
 	if o.done {
 		return
 	}
 	out := a.outgoingTo(from)
-	if zone, ok := a.betterZone(now, l, o.call, o.hops); ok {
+	if zone, ok := a.betterZone(now, l, o.spec, o.hops); ok {
 		a.cancelRequest(h, w.ID, o)
 		out.OtherZones = append(out.OtherZones, wireOtherZone{ID: w.ID, Zone: zone})
 		return
@@ -388,24 +388,24 @@
 	out := a.outgoingTo(from)
 	if r != nil {
 		if r.Code == scheduler.CodeNoUpstream {
-			if zone, ok := a.betterZone(now, o.group, o.call, o.hops); ok {
+			if zone, ok := a.betterZone(now, o.group, o.spec, o.hops); ok {
 				out.OtherZones = append(out.OtherZones, wireOtherZone{ID: id, Zone: zone})
 				return
 			}
 		}
-		out.Refusals = append(out.Refusals, wireRefusal{ID: id, Code: r.Code, After: r.RetryAfter.Milliseconds(), Waits: encodeWaits(r.WaitTimes)})
+		out.Refusals = append(out.Refusals, wireRefusal{ID: id, Code: r.Code, RetryAfter: r.RetryAfter.Milliseconds(), Waits: encodeWaitTimes(r.WaitTimes)})
 		return
 	}
 	w := wireGrant{
 		ID: id, Main: wireUpstream{ID: g.Upstream.ID, Address: g.Upstream.Address},
-		Read: float32(g.Workload.Prefill), Estimate: float32(g.Estimate), Long: g.Workload.Long,
-		Streams: g.Load.Streams, Context: g.Load.ContextTokens, Unread: float32(g.Load.PendingPrefill), Waits: encodeWaits(g.WaitTimes),
+		Prefill: float32(g.Workload.Prefill), Estimate: float32(g.Estimate), Long: g.Workload.Long,
+		Streams: g.Load.Streams, ContextTokens: g.Load.ContextTokens, PendingPrefill: float32(g.Load.PendingPrefill), Waits: encodeWaitTimes(g.WaitTimes),
 	}
 	for _, p := range g.Helpers {
-		w.Helpers = append(w.Helpers, wireUpstream{ID: p.ID, Address: p.Address, Tokens: p.ReservedTokens})
+		w.Helpers = append(w.Helpers, wireUpstream{ID: p.ID, Address: p.Address, ReservedTokens: p.ReservedTokens})
 	}
 	h.placements[id] = &heldPlacement{grant: g, countedAt: now, sentGrant: &w}
-	a.typicalLoad.add(g.Load, o.call.Requirements)
+	a.typicalLoad.add(g.Load, o.spec.Requirements)
 	out.Grants = append(out.Grants, w)
 	if l := g.Upstream.Limit; l.Limited {
 		// Without this the VM would not notice when the upstream's responses
@@ -419,7 +419,7 @@
 func (a *Allocator) expireClients(now time.Time) {
 	for at, h := range a.clients {
 		for id, o := range h.requests {
-			if now.Sub(o.heard) > requestTimeout {
+			if now.Sub(o.lastConfirmed) > requestTimeout {
 				a.cancelRequest(h, id, o)
 			}
 		}
@@ -428,9 +428,9 @@
 				delete(h.released, id)
 			}
 		}
-		if now.Sub(h.heard) > clientTimeout {
+		if now.Sub(h.lastSeen) > clientTimeout {
 			if n := len(h.placements); n > 0 {
-				a.deps.Log.Info().Str("peer", h.vm).Int("places", n).Dur("silent", now.Sub(h.heard)).Msg("released placements of silent VM")
+				a.deps.Log.Info().Str("peer", h.vm).Int("places", n).Dur("silent", now.Sub(h.lastSeen)).Msg("released placements of silent VM")
 			}
 			a.releaseAll(h)
 			delete(a.clients, at)
--- a/entry/process/allocator/member.go
+++ b/entry/process/allocator/member.go
@@ -49,8 +49,8 @@
 const (
 	// minSuspicion is how long a member that did not answer is skipped the
 	// first time. The duration doubles each further time, up to maxSuspicion.
-	// That the member can still be heard means little: its network path may be
-	// cut in one direction, or it may be slow.
+	// Messages from the member do not end the suspicion early: its network path
+	// may be cut in one direction, or it may be slow.
 	minSuspicion = time.Second
 	maxSuspicion = 8 * time.Second
 )
@@ -133,16 +133,16 @@
 	a.deps.Log.Info().Str("leader", m.String()).Str("cause", cause).Dur("for", d.duration).Msg("leader skipped")
 }
 
-// isSuspect reports whether a member was skipped and has not been heard after
-// that time. Requests that wait at another leader are not moved back to it, as
-// it may be dead and its missing heartbeats are noticed only later.
+// isSuspect reports whether a member was skipped and has not sent a message
+// since. Requests that wait at another leader are not moved back to it, as it
+// may be dead and its missing heartbeats are noticed only later.
 func (a *Allocator) isSuspect(m netip.AddrPort) bool {
 	_, ok := a.suspects[m]
 	return ok
 }
 
-// clearSuspicion records that a member was heard. A suspicion that is still in
-// force remains.
+// clearSuspicion is called when a member has sent a message. It ends a
+// suspicion whose time is over.
 func (a *Allocator) clearSuspicion(now time.Time, m netip.AddrPort) {
 	if d, ok := a.suspects[m]; ok && !now.Before(d.until) {
 		delete(a.suspects, m)
--- a/entry/process/allocator/message.go
+++ b/entry/process/allocator/message.go
@@ -83,13 +83,13 @@
 	Group          wireGroup
 	Hops           int
 	Prompt, Output int
-	Pause          float32
-	// Arrived is normally negative; Leaves and Stop are 0 if they are not
-	// known.
-	Arrived, Objective, Deadline, Leaves, Stop int64
-	Priority                                   int
-	Team, Zone                                 string
-	Tried, Avoid                               []string
+	MaxPause       float32
+	// Arrived is normally negative; CallerTimeout and StopsAt are 0 if they are
+	// not known.
+	Arrived, Objective, Deadline, CallerTimeout, StopsAt int64
+	Priority                                             int
+	Team, Zone                                           string
+	Tried, Unreachable                                   []string
 }
 
 // unknownTime encodes a time that is not known. A known time hardly ever equals
@@ -114,21 +114,21 @@
 }
 
 func (o *request) wire(now time.Time) wireRequest {
-	c := &o.call
+	c := &o.spec
 	return wireRequest{
-		ID: o.id, Group: o.group.wire(), Hops: o.hops, Prompt: c.Requirements.Prompt, Output: c.Requirements.Output, Pause: float32(c.Requirements.MaxPause),
+		ID: o.id, Group: o.group.wire(), Hops: o.hops, Prompt: c.Requirements.Prompt, Output: c.Requirements.Output, MaxPause: float32(c.Requirements.MaxPause),
 		Arrived: millisUntil(now, c.Requirements.Arrived), Objective: millisUntil(now, c.Requirements.Objective), Deadline: millisUntil(now, c.Requirements.Deadline),
-		Leaves: millisUntil(now, c.Requirements.CallerTimeout), Stop: millisUntil(now, c.StopsAt),
-		Priority: c.Priority, Team: c.Team, Zone: c.Zone, Tried: c.Requirements.Tried, Avoid: c.Unreachable,
+		CallerTimeout: millisUntil(now, c.Requirements.CallerTimeout), StopsAt: millisUntil(now, c.StopsAt),
+		Priority: c.Priority, Team: c.Team, Zone: c.Zone, Tried: c.Requirements.Tried, Unreachable: c.Unreachable,
 	}
 }
 
-func (w *wireRequest) call(now time.Time) scheduler.Request {
+func (w *wireRequest) spec(now time.Time) scheduler.Request {
 	return scheduler.Request{
-		Priority: w.Priority, Team: w.Team, Zone: w.Zone, Unreachable: w.Avoid, StopsAt: timeFromMillis(now, w.Stop),
+		Priority: w.Priority, Team: w.Team, Zone: w.Zone, Unreachable: w.Unreachable, StopsAt: timeFromMillis(now, w.StopsAt),
 		Requirements: placer.Request{
-			Prompt: w.Prompt, Output: w.Output, MaxPause: float64(w.Pause), Arrived: timeFromMillis(now, w.Arrived), Objective: timeFromMillis(now, w.Objective),
-			Deadline: timeFromMillis(now, w.Deadline), CallerTimeout: timeFromMillis(now, w.Leaves), Tried: w.Tried,
+			Prompt: w.Prompt, Output: w.Output, MaxPause: float64(w.MaxPause), Arrived: timeFromMillis(now, w.Arrived), Objective: timeFromMillis(now, w.Objective),
+			Deadline: timeFromMillis(now, w.Deadline), CallerTimeout: timeFromMillis(now, w.CallerTimeout), Tried: w.Tried,
 		},
 	}
 }
@@ -136,30 +136,31 @@
 // wireUpstream is an upstream of a placement, and the memory in tokens to be
 // set aside there.
 type wireUpstream struct {
-	_           struct{} `cbor:",toarray"`
-	ID, Address string
-	Tokens      int
+	_              struct{} `cbor:",toarray"`
+	ID, Address    string
+	ReservedTokens int
 }
 
 type wireGrant struct {
-	_              struct{} `cbor:",toarray"`
-	ID             uint64
-	Main           wireUpstream
-	Helpers        []wireUpstream
-	Read, Estimate float32
-	// Streams, Context and Unread are the load of the main upstream.
-	Streams, Context int
-	Unread           float32
-	Long             bool
-	Waits            []uint32
+	_                 struct{} `cbor:",toarray"`
+	ID                uint64
+	Main              wireUpstream
+	Helpers           []wireUpstream
+	Prefill, Estimate float32
+	// Streams, ContextTokens and PendingPrefill are the load of the main
+	// upstream.
+	Streams, ContextTokens int
+	PendingPrefill         float32
+	Long                   bool
+	Waits                  []uint32
 }
 
 type wireRefusal struct {
-	_     struct{} `cbor:",toarray"`
-	ID    uint64
-	Code  string
-	After int64
-	Waits []uint32
+	_          struct{} `cbor:",toarray"`
+	ID         uint64
+	Code       string
+	RetryAfter int64
+	Waits      []uint32
 }
 
 type wireOtherZone struct {
@@ -170,29 +171,29 @@
 
 // wirePlacement describes the capacity that a placement uses.
 type wirePlacement struct {
-	_              struct{} `cbor:",toarray"`
-	ID             uint64
-	Group          wireGroup
-	Prompt, Output int
-	Pause, Read    float32
-	Long, Started  bool
-	Main           string
-	Helpers        []string
-	Tokens         []int
+	_                 struct{} `cbor:",toarray"`
+	ID                uint64
+	Group             wireGroup
+	Prompt, Output    int
+	MaxPause, Prefill float32
+	Long, Started     bool
+	Main              string
+	Helpers           []string
+	ReservedTokens    []int
 }
 
 func (p *Placement) wire() wirePlacement {
-	w := &p.work
+	w := &p.workload
 	return wirePlacement{
-		ID: p.id, Group: p.group.wire(), Prompt: w.Prompt, Output: w.Output, Pause: float32(w.MaxPause), Read: float32(w.Prefill),
-		Long: w.Long, Started: p.started, Main: w.Main, Helpers: w.Helpers, Tokens: w.ReservedTokens,
+		ID: p.id, Group: p.group.wire(), Prompt: w.Prompt, Output: w.Output, MaxPause: float32(w.MaxPause), Prefill: float32(w.Prefill),
+		Long: w.Long, Started: p.started, Main: w.Main, Helpers: w.Helpers, ReservedTokens: w.ReservedTokens,
 	}
 }
 
-func (w *wirePlacement) work() scheduler.Workload {
+func (w *wirePlacement) workload() scheduler.Workload {
 	return scheduler.Workload{
-		Prompt: w.Prompt, Output: w.Output, MaxPause: float64(w.Pause), Prefill: float64(w.Read), Long: w.Long,
-		Main: w.Main, Helpers: w.Helpers, ReservedTokens: w.Tokens,
+		Prompt: w.Prompt, Output: w.Output, MaxPause: float64(w.MaxPause), Prefill: float64(w.Prefill), Long: w.Long,
+		Main: w.Main, Helpers: w.Helpers, ReservedTokens: w.ReservedTokens,
 	}
 }
 
@@ -231,16 +232,16 @@
 
 // wireSummary is the load of a group.
 type wireSummary struct {
-	_         struct{} `cbor:",toarray"`
-	Group     wireGroup
-	Engines   int
-	FreeSlots int
-	ReadTime  float32
+	_           struct{} `cbor:",toarray"`
+	Group       wireGroup
+	Engines     int
+	FreeSlots   int
+	PrefillTime float32
 }
 
-// encodeWaits encodes waiting times in milliseconds by reason, without trailing
-// zeros.
-func encodeWaits(w scheduler.WaitTimes) []uint32 {
+// encodeWaitTimes encodes wait times in milliseconds by reason, without
+// trailing zeros.
+func encodeWaitTimes(w scheduler.WaitTimes) []uint32 {
 	out := make([]uint32, 0, len(w))
 	last := 0
 	for i, d := range w {
@@ -252,7 +253,7 @@
 	return out[:last]
 }
 
-func decodeWaits(wire []uint32) (w scheduler.WaitTimes) {
+func decodeWaitTimes(wire []uint32) (w scheduler.WaitTimes) {
 	for i := range min(len(wire), len(w)) {
 		w[i] = time.Duration(wire[i]) * time.Millisecond
 	}
--- a/entry/process/allocator/overflow.go
+++ b/entry/process/allocator/overflow.go
@@ -17,20 +17,20 @@
 	// 1/freeSlotsDivisor, that must be free before short prompts of another
 	// group are sent there.
 	freeSlotsDivisor = 4
-	// minReadTimeGain is the difference in read time per engine, in
+	// minPrefillGain is the difference in prefill time per engine, in
 	// milliseconds, from which a long prompt is sent to another group.
-	minReadTimeGain = 150.0
+	minPrefillGain = 150.0
 )
 
 // A summary is the load of a group.
 type summary struct {
 	engines int
-	// freeSlots is the number of free slots. readTime is the time in
-	// milliseconds that each engine needs on average to read the prompts
-	// assigned to the group, including those that wait.
-	freeSlots int
-	readTime  float64
-	at        time.Time
+	// freeSlots is the number of free slots. prefillTime is the time in
+	// milliseconds that each engine needs on average to prefill the prompts of
+	// the group, including those that wait.
+	freeSlots   int
+	prefillTime float64
+	at          time.Time
 }
 
 // sendSummaries sends the load of each group that this VM leads to the leaders
@@ -65,7 +65,7 @@
 			continue
 		}
 		out := a.outgoingTo(m.Address)
-		out.Summaries = append(out.Summaries, wireSummary{Group: g.wire(), Engines: sum.engines, FreeSlots: sum.freeSlots, ReadTime: float32(sum.readTime)})
+		out.Summaries = append(out.Summaries, wireSummary{Group: g.wire(), Engines: sum.engines, FreeSlots: sum.freeSlots, PrefillTime: float32(sum.prefillTime)})
 	}
 }
 
@@ -78,11 +78,11 @@
 		}
 		sum.engines++
 		sum.freeSlots += max(0, u.Slots-work[u.ID].Streams)
-		sum.readTime += work[u.ID].PendingPrefill
+		sum.prefillTime += work[u.ID].PendingPrefill
 	}
-	sum.readTime += l.scheduler.QueuedPrefill()
+	sum.prefillTime += l.scheduler.QueuedPrefill()
 	if sum.engines > 0 {
-		sum.readTime /= float64(sum.engines)
+		sum.prefillTime /= float64(sum.engines)
 	}
 	return sum
 }
@@ -106,7 +106,7 @@
 		if !here.shouldYieldTo(s, long, slotsOf(c)) {
 			continue
 		}
-		if best == nil || (long && s.readTime < best.readTime) || (!long && s.freeSlots > best.freeSlots) {
+		if best == nil || (long && s.prefillTime < best.prefillTime) || (!long && s.freeSlots > best.freeSlots) {
 			best, zone = s, other.Zone
 		}
 	}
@@ -115,7 +115,7 @@
 	}
 	best.freeSlots--
 	if e != nil {
-		best.readTime += placer.PrefillTime(e, c.Requirements.Prompt, 1) / float64(best.engines)
+		best.prefillTime += placer.PrefillTime(e, c.Requirements.Prompt, 1) / float64(best.engines)
 	}
 	a.count("asks.elsewhere")
 	return zone, true
@@ -125,7 +125,7 @@
 func (a *Allocator) rebalance(now time.Time) {
 	for at, h := range a.clients {
 		for id, o := range h.requests {
-			if zone, ok := a.betterZone(now, o.group, o.call, o.hops); ok {
+			if zone, ok := a.betterZone(now, o.group, o.spec, o.hops); ok {
 				a.cancelRequest(h, id, o)
 				out := a.outgoingTo(at)
 				out.OtherZones = append(out.OtherZones, wireOtherZone{ID: id, Zone: zone})
@@ -138,7 +138,7 @@
 			continue
 		}
 		if l, leads := a.ledGroups[o.group]; leads {
-			if zone, ok := a.betterZone(now, l, o.call, o.hops); ok {
+			if zone, ok := a.betterZone(now, l, o.spec, o.hops); ok {
 				a.moveToZone(now, o, zone)
 			}
 		}
@@ -152,7 +152,7 @@
 	case s.engines == 0:
 		return true
 	case long:
-		return o.readTime+minReadTimeGain <= s.readTime
+		return o.prefillTime+minPrefillGain <= s.prefillTime
 	}
 	return o.freeSlots*freeSlotsDivisor >= o.engines*slots && o.freeSlots >= 2*s.freeSlots
 }
--- a/entry/process/allocator/place.go
+++ b/entry/process/allocator/place.go
@@ -27,7 +27,7 @@
 	allocator     *Allocator
 	id            uint64
 	group         Group
-	work          scheduler.Workload
+	workload      scheduler.Workload
 	started       bool
 	released      bool
 	// grant is the local scheduler's record of the placement; nil if only
