--- a/entry/process/allocator/limit.go
+++ b/entry/process/allocator/limit.go
@@ -51,7 +51,7 @@
 		w := &all[i]
 		if old, changed := a.deps.Tracker.MergeLimit(w.Upstream, w.limit(now)); changed {
 			a.deps.Log.Info().Str("upstream", w.Upstream).Bool("limited", w.Limited).Float64("rate", w.Rate).
-				Float64("before", old.Rate).Int64("age", w.Age).Msg("rate limit of upstream changed")
+				Float64("before", old.Rate).Int64("age", w.Age).Msg("rate limit of an upstream changed")
 		}
 	}
 }
