--- a/entry/process/dispatcher/affinity.go
+++ b/entry/process/dispatcher/affinity.go
@@ -38,12 +38,12 @@
 }
 
 // offer counts a request for the split.
-func (a *affinity) offer(k admitter.Ask) {
-	if router.Long(k.Tokens) {
-		a.offered.LongTokens += float64(k.Tokens)
+func (a *affinity) offer(k admitter.Request) {
+	if router.IsLongPrompt(k.PromptTokens) {
+		a.offered.LongTokens += float64(k.PromptTokens)
 		return
 	}
-	a.offered.ShortTokens += float64(k.Tokens)
+	a.offered.ShortTokens += float64(k.PromptTokens)
 }
 
 // look works out the affinity where it is due.
@@ -67,8 +67,8 @@
 	isLong := func(name string) bool { return a.long[name] }
 	short := slices.DeleteFunc(slices.Clone(names), isLong)
 	long := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return !isLong(name) })
-	a.homes = router.Homes(vms, short)
-	for name, vm := range router.Homes(vms, long) {
+	a.homes = router.AssignPrimaries(vms, short)
+	for name, vm := range router.AssignPrimaries(vms, long) {
 		a.homes[name] = vm
 	}
 }
@@ -97,13 +97,13 @@
 
 // guest tells whether this VM may use an upstream now that is another's home.
 func (a *affinity) guest(now time.Time, vm, upstream string) bool {
-	if turn := now.UnixNano() / int64(router.Turn); turn != a.turn || a.guests == nil {
+	if turn := now.UnixNano() / int64(router.SecondaryTerm); turn != a.turn || a.guests == nil {
 		a.turn, a.guests = turn, make(map[string]bool, len(a.homes))
 	}
 	is, known := a.guests[upstream]
 	if !known {
 		home, ok := a.homes[upstream]
-		is = ok && home != vm && router.Guest(now, a.vms, upstream, home) == vm
+		is = ok && home != vm && router.SecondaryAt(now, a.vms, upstream, home) == vm
 		a.guests[upstream] = is
 	}
 	return is
--- a/entry/process/dispatcher/candidate.go
+++ b/entry/process/dispatcher/candidate.go
@@ -11,7 +11,7 @@
 
 // candidates are the upstreams that a request may go to, as the router sees
 // them. The slice is used again by the next call.
-func (p *pool) candidates(now time.Time, k admitter.Ask, avoid []string) []router.Candidate {
+func (p *pool) candidates(now time.Time, k admitter.Request, avoid []string) []router.Candidate {
 	cs := p.scratch[:0]
 	group := p.needsGroup(k)
 	held := now.Before(p.hold.until) && !group
@@ -34,12 +34,12 @@
 }
 
 // long tells whether a prompt would take a large part of an engine's memory.
-func (p *pool) long(k admitter.Ask, u viewer.Upstream) bool {
+func (p *pool) long(k admitter.Request, u viewer.Upstream) bool {
 	const part = 4
-	return u.Memory > 0 && k.Tokens > u.Memory/part
+	return u.Memory > 0 && k.PromptTokens > u.Memory/part
 }
 
-func (p *pool) candidate(now time.Time, k admitter.Ask, u viewer.Upstream) router.Candidate {
+func (p *pool) candidate(now time.Time, k admitter.Request, u viewer.Upstream) router.Candidate {
 	s := p.dispatcher.supplier.Supply(u.Name)
 	sent, tokens := p.sentSince(u.Name, now, s.Age)
 	memory := s.Memory
@@ -47,29 +47,29 @@
 		memory = u.Memory
 	}
 	return router.Candidate{
-		Name:        u.Name,
-		Zone:        u.Zone,
-		Near:        u.Zone == p.dispatcher.config.Zone,
-		Free:        s.Free,
-		Slots:       u.Slots,
-		Mine:        s.Mine,
-		Sent:        sent,
-		SentTokens:  tokens,
-		Running:     s.Running,
-		Waiting:     s.Waiting,
-		Used:        s.Used,
-		Memory:      memory,
-		PrefillLeft: s.PrefillLeft,
-		Age:         s.Age,
-		Prefill:     float64(u.Prefill),
-		Decode:      float64(u.Decode),
-		Speed:       p.dispatcher.speeds.Speed(u.Name),
-		Cold:        s.Cold,
-		Long:        p.affinity.long[u.Name],
-		Unread:      int(p.unreadAt(u.Name).Load()),
-		Home:        p.affinity.home(p.dispatcher.config.VM, u.Name),
-		Guest:       p.affinity.guest(now, p.dispatcher.config.VM, u.Name),
-		Cached:      k.Tokens >= hintTokens && p.indexer.Has(now, k.Head, u.Name, s.Boot),
+		Name:               u.Name,
+		Zone:               u.Zone,
+		SameZone:           u.Zone == p.dispatcher.config.Zone,
+		FreeSlots:          s.Free,
+		Slots:              u.Slots,
+		OwnStreams:         s.Mine,
+		UnreportedRequests: sent,
+		UnreportedTokens:   tokens,
+		Running:            s.Running,
+		Waiting:            s.Waiting,
+		KVUsed:             s.Used,
+		KVCapacity:         memory,
+		PrefillLeft:        s.PrefillLeft,
+		ReportAge:          s.Age,
+		PrefillRate:        float64(u.Prefill),
+		DecodeRate:         float64(u.Decode),
+		SpeedRatio:         p.dispatcher.speeds.Speed(u.Name),
+		Cold:               s.Cold,
+		LongOnly:           p.affinity.long[u.Name],
+		OwnPrefillLeft:     int(p.unreadAt(u.Name).Load()),
+		Primary:            p.affinity.home(p.dispatcher.config.VM, u.Name),
+		Secondary:          p.affinity.guest(now, p.dispatcher.config.VM, u.Name),
+		PrefixCached:       k.PromptTokens >= hintTokens && p.indexer.Has(now, k.PrefixHash, u.Name, s.Boot),
 	}
 }
 
@@ -102,6 +102,6 @@
 }
 
 // pace is what a request may expect of the pool's upstreams.
-func (p *pool) pace(now time.Time, k admitter.Ask) admitter.Pace {
-	return router.Pace(p.candidates(now, k, nil), k.Tokens)
+func (p *pool) pace(now time.Time, k admitter.Request) admitter.Capacity {
+	return router.EstimateCapacity(p.candidates(now, k, nil), k.PromptTokens)
 }
--- a/entry/process/dispatcher/dispatcher.go
+++ b/entry/process/dispatcher/dispatcher.go
@@ -195,7 +195,7 @@
 	Pool *viewer.Pool
 	// Ask is what the admitter and the router decide on. Its ID is given
 	// here; the rest is the caller's.
-	Ask admitter.Ask
+	Ask admitter.Request
 	// Avoid names upstreams that have refused this request already.
 	Avoid []string
 }
--- a/entry/process/dispatcher/dispatcher_test.go
+++ b/entry/process/dispatcher/dispatcher_test.go
@@ -118,8 +118,8 @@
 
 func (r *rig) call(tokens int) dispatcher.Call {
 	now := time.Now()
-	return dispatcher.Call{Pool: r.pool, Ask: admitter.Ask{
-		Team: "t", Share: 1, Tokens: tokens, Output: 10, Arrived: now, Deadline: now.Add(time.Minute),
+	return dispatcher.Call{Pool: r.pool, Ask: admitter.Request{
+		Team: "t", Share: 1, PromptTokens: tokens, MaxOutput: 10, Arrived: now, Deadline: now.Add(time.Minute),
 	}}
 }
 
--- a/entry/process/dispatcher/group.go
+++ b/entry/process/dispatcher/group.go
@@ -20,22 +20,22 @@
 
 // tooLarge refuses a prompt that needs a group and that no group of the pool's
 // engines can hold: it would wait to its limit for nothing.
-func (p *pool) tooLarge(k admitter.Ask) *refuser.Refusal {
+func (p *pool) tooLarge(k admitter.Request) *refuser.Refusal {
 	if !p.needsGroup(k) || len(p.upstreams) == 0 {
 		return nil
 	}
 	var all, heard []router.Candidate
 	for _, u := range p.upstreams {
-		c := router.Candidate{Name: u.Name, Memory: u.Memory, Free: 1, Slots: 1}
+		c := router.Candidate{Name: u.Name, KVCapacity: u.Memory, FreeSlots: 1, Slots: 1}
 		all = append(all, c)
 		if p.dispatcher.supplier.Supply(u.Name).Age < silence {
 			heard = append(heard, c)
 		}
 	}
-	if _, err := grouper.Plan(k.Tokens, k.Output, all, groupShare()); err != nil {
+	if _, err := grouper.Plan(k.PromptTokens, k.MaxOutput, all, groupShare()); err != nil {
 		return refuser.New(http.StatusUnprocessableEntity, "too_large", "%s", err)
 	}
-	if _, err := grouper.Plan(k.Tokens, k.Output, heard, groupShare()); err != nil {
+	if _, err := grouper.Plan(k.PromptTokens, k.MaxOutput, heard, groupShare()); err != nil {
 		return refuser.New(http.StatusServiceUnavailable, "engines_away", "of the engines that answer now: %s", err).WithRetryAfter(silence)
 	}
 	return nil
@@ -52,12 +52,12 @@
 	}
 }
 
-func (p *pool) needsGroup(k admitter.Ask) bool {
-	if k.Tokens == 0 {
+func (p *pool) needsGroup(k admitter.Request) bool {
+	if k.PromptTokens == 0 {
 		return false
 	}
 	return !slices.ContainsFunc(p.upstreams, func(u viewer.Upstream) bool {
-		return lender.Lendable(u.Memory) >= k.Tokens+k.Output
+		return lender.Lendable(u.Memory) >= k.PromptTokens+k.MaxOutput
 	})
 }
 
@@ -71,8 +71,8 @@
 // placeGroup takes all places of a group or none. The order is that of the
 // names on every VM, so that of two groups that want the same engines one gets
 // its first engine first and the other waits there with nothing in hand.
-func (p *pool) placeGroup(now time.Time, k admitter.Ask, cs []router.Candidate) *Grant {
-	plan, err := grouper.Plan(k.Tokens, k.Output, cs, groupShare())
+func (p *pool) placeGroup(now time.Time, k admitter.Request, cs []router.Candidate) *Grant {
+	plan, err := grouper.Plan(k.PromptTokens, k.MaxOutput, cs, groupShare())
 	if err != nil {
 		p.holdBack(now, cs)
 		return nil
@@ -81,11 +81,11 @@
 	for i, part := range plan {
 		memory := part.Tokens
 		if i == len(plan)-1 {
-			memory += k.Output
+			memory += k.MaxOutput
 		}
 		taken, ok := p.take(part.Name, part.Tokens, memory)
 		if !ok {
-			p.undo(now, g, plan, k.Output, cs)
+			p.undo(now, g, plan, k.MaxOutput, cs)
 			return nil
 		}
 		g.Parts = append(g.Parts, taken)
--- a/entry/process/dispatcher/pool.go
+++ b/entry/process/dispatcher/pool.go
@@ -162,7 +162,7 @@
 }
 
 func turnedAway(r *admitter.Refusal) *refuser.Refusal {
-	return refuser.New(http.StatusTooManyRequests, r.Code, "%s", r).WithRetryAfter(r.After)
+	return refuser.New(http.StatusTooManyRequests, r.Code, "%s", r).WithRetryAfter(r.RetryAfter)
 }
 
 // leave takes a request out that its caller has left, or whose limit is over.
@@ -192,7 +192,7 @@
 	defer p.mu.Unlock()
 	now := p.dispatcher.now()
 	p.giveUpGroups()
-	for _, k := range p.admitter.Expire(now, p.pace(now, admitter.Ask{})) {
+	for _, k := range p.admitter.Expire(now, p.pace(now, admitter.Request{})) {
 		if w, ok := p.waiting[k.ID]; ok {
 			p.reply(k.ID, w, reply{refusal: late()})
 		}
@@ -205,7 +205,7 @@
 	p.affinity.look(now, p.dispatcher.supplier.VMs, p.upstreams)
 	for {
 		var grant *Grant
-		k, ok := p.admitter.Next(now, func(k admitter.Ask) bool {
+		k, ok := p.admitter.Next(now, func(k admitter.Request) bool {
 			grant = p.place(now, k)
 			return grant != nil
 		})
@@ -217,7 +217,7 @@
 			grant.Done(Cancelled)
 			continue
 		}
-		p.ranker.Record(now, k.Team, k.Share, k.Tokens)
+		p.ranker.Record(now, k.Team, k.Share, k.PromptTokens)
 		grant.Over = p.ranker.OverShare(now, k.Team)
 		p.reply(k.ID, w, reply{grant: grant})
 	}
@@ -241,7 +241,7 @@
 	}
 }
 
-func (p *pool) place(now time.Time, k admitter.Ask) *Grant {
+func (p *pool) place(now time.Time, k admitter.Request) *Grant {
 	w, ok := p.waiting[k.ID]
 	if !ok {
 		// Its caller has left: taking it here drops it.
@@ -255,12 +255,12 @@
 	if !ok {
 		return nil
 	}
-	part, ok := p.take(cs[i].Name, k.Tokens, k.Tokens+k.Output)
+	part, ok := p.take(cs[i].Name, k.PromptTokens, k.PromptTokens+k.MaxOutput)
 	if !ok {
 		return nil
 	}
 	p.note(part.Upstream.Name, sending{at: now, tokens: part.Tokens})
-	part.Ahead = cs[i].PrefillLeft + cs[i].SentTokens
+	part.Ahead = cs[i].PrefillLeft + cs[i].UnreportedTokens
 	return &Grant{Parts: []Part{part}}
 }
 
--- a/entry/process/dispatcher/reading.go
+++ b/entry/process/dispatcher/reading.go
@@ -54,11 +54,11 @@
 }
 
 // hint remembers which engine has read the beginning of a prompt.
-func (p *pool) hint(k admitter.Ask, part Part) {
+func (p *pool) hint(k admitter.Request, part Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k.Tokens >= hintTokens {
-		p.indexer.Note(p.dispatcher.now(), k.Head, part.Upstream.Name, part.Boot)
+	if k.PromptTokens >= hintTokens {
+		p.indexer.Note(p.dispatcher.now(), k.PrefixHash, part.Upstream.Name, part.Boot)
 	}
 }
 
--- a/entry/request/admitter/admitter.go
+++ b/entry/request/admitter/admitter.go
@@ -20,39 +20,39 @@
 	"time"
 )
 
-// An Ask is a request that wants to be let in.
-type Ask struct {
+// An Request is a request that wants to be let in.
+type Request struct {
 	// ID is unique among the asks of one Admitter.
 	ID uint64
 	// Team names whose it is.
 	Team string
 	// Share is the team's weight beside the other teams; below 1 reads as 1.
 	Share int
-	// Tokens is the length of the prompt.
-	Tokens int
-	// Output is the most answer tokens that may come.
-	Output int
+	// PromptTokens is the length of the prompt.
+	PromptTokens int
+	// MaxOutput is the most answer tokens that may come.
+	MaxOutput int
 	// Arrived is when the request's time limit began to run.
 	Arrived time.Time
 	// Deadline is when the whole answer must be out.
 	Deadline time.Time
-	// Head is the hash of the prompt's first 4 KiB, by which cached prefixes
+	// PrefixHash is the hash of the prompt's first 4 KiB, by which cached prefixes
 	// are known.
-	Head uint64
+	PrefixHash uint64
 }
 
-// A Pace is what this VM may expect of a model's upstreams.
-type Pace struct {
+// A Capacity is what this VM may expect of a model's upstreams.
+type Capacity struct {
 	// Slots is how many requests this VM may have in progress.
 	Slots int
-	// Prefill is the prompt tokens per second that this VM's share of all
+	// PrefillRate is the prompt tokens per second that this VM's share of all
 	// upstreams reads.
-	Prefill float64
-	// Alone is the prompt tokens per second of a single upstream, which bounds
+	PrefillRate float64
+	// UpstreamPrefillRate is the prompt tokens per second of a single upstream, which bounds
 	// how soon one prompt can be read; 0 reads as Prefill.
-	Alone float64
-	// Decode is the answer tokens per second of one stream.
-	Decode float64
+	UpstreamPrefillRate float64
+	// DecodeRate is the answer tokens per second of one stream.
+	DecodeRate float64
 	// Running is how many of the slots are taken.
 	Running int
 	// PrefillLeft is how many prompt tokens of work already placed are unread,
@@ -74,16 +74,16 @@
 type Refusal struct { //nolint:errname // the word that callers meet
 	// Code is Saturated, Late or Share.
 	Code string
-	// After is when coming back helps; 0 where it does not.
-	After time.Duration
+	// RetryAfter is when coming back helps; 0 where it does not.
+	RetryAfter time.Duration
 }
 
 // Error gives the code and the time to come back.
 func (r *Refusal) Error() string {
-	if r.After == 0 {
+	if r.RetryAfter == 0 {
 		return "refused as " + r.Code
 	}
-	return "refused as " + r.Code + ", come back after " + r.After.String()
+	return "refused as " + r.Code + ", come back after " + r.RetryAfter.String()
 }
 
 // An Admitter is one model's queue on one VM.
@@ -97,11 +97,11 @@
 	bands  []*band
 	latest pile[*item]
 	// gone are asks that Next found too late, until Expire hands them out.
-	gone []Ask
+	gone []Request
 	// clock is the virtual time of the bands: the finish tag of the last
 	// band served.
 	clock float64
-	pace  Pace
+	pace  Capacity
 	// line is the queue of the baseline, tries the bands that Next tries.
 	line  []uint64
 	tries []*band
@@ -113,16 +113,16 @@
 	cost                 int64
 }
 
-func (l *load) add(a Ask, cost int64, sign int) {
+func (l *load) add(a Request, cost int64, sign int) {
 	l.asks += sign
-	l.tokens += sign * a.Tokens
-	l.output += sign * a.Output
+	l.tokens += sign * a.PromptTokens
+	l.output += sign * a.MaxOutput
 	l.cost += int64(sign) * cost
 }
 
 // An item is a waiting ask.
 type item struct {
-	ask  Ask
+	ask  Request
 	cost int64
 	band *band
 	turn *turn
@@ -168,11 +168,11 @@
 func (a *Admitter) Tokens() int { return a.total.tokens }
 
 // Offer queues the ask, or says why not and when to come back.
-func (a *Admitter) Offer(now time.Time, k Ask, p Pace) *Refusal {
+func (a *Admitter) Offer(now time.Time, k Request, p Capacity) *Refusal {
 	if k.Share < 1 {
 		k.Share = 1
 	}
-	it := &item{ask: k, cost: a.cost(k), band: a.band(k.Tokens)}
+	it := &item{ask: k, cost: a.cost(k), band: a.band(k.PromptTokens)}
 	it.start = a.start(k, p)
 	if r := a.refuse(now, it, p); r != nil {
 		return r
@@ -196,7 +196,7 @@
 
 // Expire takes out the asks that can no longer be done in time, at the pace
 // given, so that their callers learn it now.
-func (a *Admitter) Expire(now time.Time, p Pace) []Ask {
+func (a *Admitter) Expire(now time.Time, p Capacity) []Request {
 	if a.conf.Queue == Fair && slower(p, a.pace) {
 		a.rebuild(p)
 	}
@@ -210,7 +210,7 @@
 // calls place at most Config.Tries times for each band, so that one call's
 // cost does not grow with the queue. An ask that finds no place holds back
 // nobody of another band, and nobody of its own for Config.Patience.
-func (a *Admitter) Next(now time.Time, place func(Ask) bool) (Ask, bool) {
+func (a *Admitter) Next(now time.Time, place func(Request) bool) (Request, bool) {
 	a.giveUp(now)
 	if a.conf.Queue == First {
 		return a.nextFirst(place)
@@ -232,7 +232,7 @@
 		}
 		b.stuck = true
 	}
-	return Ask{}, false
+	return Request{}, false
 }
 
 // giveUp takes out the asks that can no longer be done in time. Placed, they
@@ -296,8 +296,8 @@
 	a.latest.remove(it)
 }
 
-func (a *Admitter) cost(k Ask) int64 {
-	return int64(max(1, k.Tokens+a.conf.Answer*k.Output))
+func (a *Admitter) cost(k Request) int64 {
+	return int64(max(1, k.PromptTokens+a.conf.Answer*k.MaxOutput))
 }
 
 func (a *Admitter) band(tokens int) *band {
--- a/entry/request/admitter/admitter_test.go
+++ b/entry/request/admitter/admitter_test.go
@@ -11,14 +11,14 @@
 )
 
 // ask is a prompt of a team whose limit, in seconds, begins at the epoch.
-func ask(id uint64, team string, tokens, limit int) admitter.Ask {
-	return admitter.Ask{
-		ID: id, Team: team, Share: 1, Tokens: tokens,
+func ask(id uint64, team string, tokens, limit int) admitter.Request {
+	return admitter.Request{
+		ID: id, Team: team, Share: 1, PromptTokens: tokens,
 		Arrived: epoch, Deadline: epoch.Add(time.Duration(limit) * time.Second),
 	}
 }
 
-func anywhere(admitter.Ask) bool { return true }
+func anywhere(admitter.Request) bool { return true }
 
 // fill lets in asks of a thousand tokens, each a second of work.
 func fill(t *testing.T, adm *admitter.Admitter, team string, n, limit int) {
@@ -35,16 +35,16 @@
 		conf    admitter.Config
 		hot, by int // asks that wait: of the same team, and of another
 		limit   int // of these, in seconds; an hour if 0
-		pace    admitter.Pace
-		ask     admitter.Ask
+		pace    admitter.Capacity
+		ask     admitter.Request
 		code    string // empty: let in
 		after   time.Duration
 	}{
 		{name: "empty", pace: pace, ask: ask(1, "a", 1000, 10)},
 		{name: "too long for its limit", pace: pace, ask: ask(1, "a", 20_000, 10), code: admitter.Late},
-		{name: "answer too long for its limit", pace: admitter.Pace{Slots: 1, Prefill: 1000, Decode: 10}, ask: admitter.Ask{ID: 1, Tokens: 1, Output: 200, Arrived: epoch, Deadline: epoch.Add(10 * time.Second)}, code: admitter.Late},
+		{name: "answer too long for its limit", pace: admitter.Capacity{Slots: 1, PrefillRate: 1000, DecodeRate: 10}, ask: admitter.Request{ID: 1, PromptTokens: 1, MaxOutput: 200, Arrived: epoch, Deadline: epoch.Add(10 * time.Second)}, code: admitter.Late},
 		{name: "nothing is up", ask: ask(1, "a", 1000, 10), code: admitter.Late},
-		{name: "placed work is ahead", pace: admitter.Pace{Slots: 9, Prefill: 1000, Decode: 9, PrefillLeft: 50_000}, ask: ask(1, "a", 1000, 60), code: admitter.Saturated, after: 51 * time.Second},
+		{name: "placed work is ahead", pace: admitter.Capacity{Slots: 9, PrefillRate: 1000, DecodeRate: 9, PrefillLeft: 50_000}, ask: ask(1, "a", 1000, 60), code: admitter.Saturated, after: 51 * time.Second},
 		{name: "own backlog is ahead", hot: 25, limit: 60, pace: pace, ask: ask(9999, "a", 10_000, 60), code: admitter.Share, after: 25 * time.Second},
 		{name: "own backlog is due later", hot: 25, limit: 60, pace: pace, ask: ask(9999, "a", 10_000, 59)},
 		{name: "the other team's backlog does not matter", by: 600, pace: pace, ask: ask(1, "a", 1000, 40)},
@@ -65,7 +65,7 @@
 			}
 			assert.Assert(t, r != nil)
 			assert.Equal(t, r.Code, tt.code)
-			assert.Assert(t, r.After >= tt.after, "come back after %v", r.After)
+			assert.Assert(t, r.RetryAfter >= tt.after, "come back after %v", r.RetryAfter)
 			assert.Equal(t, adm.Len(), tt.hot+tt.by)
 		})
 	}
@@ -81,7 +81,7 @@
 		adm := admitter.New(admitter.Config{Queue: tt.queue})
 		assert.Assert(t, adm.Offer(epoch, ask(1, "a", 900_000, 36_000), pace) == nil)
 		assert.Assert(t, adm.Offer(epoch, ask(2, "a", 1000, 3600), pace) == nil)
-		got, ok := adm.Next(epoch, func(a admitter.Ask) bool { return a.Tokens < 100_000 })
+		got, ok := adm.Next(epoch, func(a admitter.Request) bool { return a.PromptTokens < 100_000 })
 		assert.Equal(t, ok, tt.ok, tt.queue)
 		assert.Equal(t, got.ID == 2, tt.ok, tt.queue)
 	}
@@ -100,7 +100,7 @@
 		if a.ID == 1 {
 			break
 		}
-		served += a.Tokens
+		served += a.PromptTokens
 		// The short band has four times the long band's weight.
 		assert.Assert(t, served <= 4*300_000+1000, "%d short tokens before the long prompt", served)
 	}
@@ -111,7 +111,7 @@
 // caller notices when they pass it for ever.
 func TestPassedOverNoLongerThanPatience(t *testing.T) {
 	adm := admitter.New(admitter.Config{})
-	small := func(a admitter.Ask) bool { return a.Tokens < 15_000 }
+	small := func(a admitter.Request) bool { return a.PromptTokens < 15_000 }
 	assert.Assert(t, adm.Offer(epoch, ask(1, "a", 16_000, 800), pace) == nil)
 	for id := uint64(2); id < 12; id++ {
 		assert.Assert(t, adm.Offer(epoch, ask(id, "b", 1000, 800), pace) == nil)
@@ -126,7 +126,7 @@
 
 func TestNextOrder(t *testing.T) {
 	adm := admitter.New(admitter.Config{})
-	for _, a := range []admitter.Ask{
+	for _, a := range []admitter.Request{
 		ask(1, "a", 1000, 3600), ask(2, "a", 1000, 3500), ask(3, "a", 1000, 3550), // by deadline: 2 3 1
 		ask(4, "b", 1000, 3600), ask(5, "b", 1000, 3601),
 		ask(6, "c", 300_000, 36_000),
@@ -157,7 +157,7 @@
 			assert.Assert(t, adm.Offer(epoch, ask(id, "single", 10_000, 36_000), pace) == nil)
 		}
 		a, _ := adm.Next(epoch, anywhere)
-		served[a.Team] += a.Tokens
+		served[a.Team] += a.PromptTokens
 		waits = a.Team != "single"
 	}
 	assert.Assert(t, served["single"] <= served["steady"]+10_000, "%v", served)
@@ -169,7 +169,7 @@
 	adm := admitter.New(admitter.Config{})
 	assert.Assert(t, adm.Offer(epoch, ask(1, "a", 10_000, 60), pace) == nil)
 	assert.Equal(t, len(adm.Expire(epoch, pace)), 0)
-	slow := admitter.Pace{Slots: 10, Prefill: 100, Decode: 10}
+	slow := admitter.Capacity{Slots: 10, PrefillRate: 100, DecodeRate: 10}
 	gone := adm.Expire(epoch, slow)
 	assert.Equal(t, len(gone), 1)
 	assert.Equal(t, adm.Len(), 0)
@@ -181,20 +181,20 @@
 // prompt would refuse questions that it could answer at once.
 func TestWhatFindsNoPlaceRefusesNobody(t *testing.T) {
 	a := admitter.New(admitter.Config{})
-	pace := admitter.Pace{Slots: 16, Prefill: 10_000, Alone: 10_000, Decode: 100}
-	long := admitter.Ask{ID: 1, Team: "a", Share: 1, Tokens: 900_000, Output: 1, Arrived: epoch, Deadline: epoch.Add(time.Hour)}
+	pace := admitter.Capacity{Slots: 16, PrefillRate: 10_000, UpstreamPrefillRate: 10_000, DecodeRate: 100}
+	long := admitter.Request{ID: 1, Team: "a", Share: 1, PromptTokens: 900_000, MaxOutput: 1, Arrived: epoch, Deadline: epoch.Add(time.Hour)}
 	assert.Assert(t, a.Offer(epoch, long, pace) == nil)
-	_, ok := a.Next(epoch, func(admitter.Ask) bool { return false })
+	_, ok := a.Next(epoch, func(admitter.Request) bool { return false })
 	assert.Assert(t, !ok)
 	now := epoch
 	for id := uint64(2); id < 6000; id++ {
 		now = now.Add(100 * time.Millisecond)
-		short := admitter.Ask{ID: id, Team: "b", Share: 1, Tokens: 1000, Output: 1, Arrived: now, Deadline: now.Add(20 * time.Second)}
+		short := admitter.Request{ID: id, Team: "b", Share: 1, PromptTokens: 1000, MaxOutput: 1, Arrived: now, Deadline: now.Add(20 * time.Second)}
 		r := a.Offer(now, short, pace)
 		assert.Assert(t, r == nil, "question %d: %v", id, r)
-		got, ok := a.Next(now, func(k admitter.Ask) bool { return k.ID != 1 })
+		got, ok := a.Next(now, func(k admitter.Request) bool { return k.ID != 1 })
 		assert.Assert(t, ok && got.ID == id)
 	}
-	got, ok := a.Next(now, func(admitter.Ask) bool { return true })
+	got, ok := a.Next(now, func(admitter.Request) bool { return true })
 	assert.Assert(t, ok && got.ID == 1, "its turn is not lost")
 }
--- a/entry/request/admitter/bench_test.go
+++ b/entry/request/admitter/bench_test.go
@@ -22,7 +22,7 @@
 				id := uint64(0)
 				offer := func() {
 					id++
-					a := admitter.Ask{ID: id, Team: names[id%uint64(teams)], Share: 1, Tokens: int(1000 + id*7919%7000), Output: 100, Arrived: epoch}
+					a := admitter.Request{ID: id, Team: names[id%uint64(teams)], Share: 1, PromptTokens: int(1000 + id*7919%7000), MaxOutput: 100, Arrived: epoch}
 					a.Deadline = epoch.Add(10_000*time.Hour + time.Duration(id)*time.Millisecond)
 					if r := adm.Offer(epoch, a, pace); r != nil {
 						b.Fatal(r)
--- a/entry/request/admitter/estimate.go
+++ b/entry/request/admitter/estimate.go
@@ -36,7 +36,7 @@
 }
 
 // start is the latest moment at which an ask can be placed and end in time.
-func (a *Admitter) start(k Ask, p Pace) time.Time {
+func (a *Admitter) start(k Request, p Capacity) time.Time {
 	if a.conf.Queue == First {
 		return k.Deadline
 	}
@@ -45,15 +45,15 @@
 }
 
 // service is how long an ask takes with nothing ahead of it.
-func (a *Admitter) service(k Ask, p Pace) time.Duration {
-	return seconds(float64(k.Tokens)/p.alone() + a.conf.Length*float64(k.Output)/p.decode())
+func (a *Admitter) service(k Request, p Capacity) time.Duration {
+	return seconds(float64(k.PromptTokens)/p.alone() + a.conf.Length*float64(k.MaxOutput)/p.decode())
 }
 
 // refuse says why an ask cannot be let in, or nil.
-func (a *Admitter) refuse(now time.Time, it *item, p Pace) *Refusal {
+func (a *Admitter) refuse(now time.Time, it *item, p Capacity) *Refusal {
 	if a.conf.Queue == First {
-		if a.Len() >= a.conf.Requests || a.total.tokens+it.ask.Tokens > a.conf.Tokens {
-			return &Refusal{Code: Saturated, After: time.Second}
+		if a.Len() >= a.conf.Requests || a.total.tokens+it.ask.PromptTokens > a.conf.Tokens {
+			return &Refusal{Code: Saturated, RetryAfter: time.Second}
 		}
 		return nil
 	}
@@ -80,7 +80,7 @@
 	// together would come back together, so each has its own part of a
 	// quarter more.
 	spread := 1 + float64(it.ask.ID*0x9e3779b97f4a7c15>>56)/1024
-	return &Refusal{Code: code, After: time.Duration(float64(min(max(wait, soonest), latest)) * spread)}
+	return &Refusal{Code: code, RetryAfter: time.Duration(float64(min(max(wait, soonest), latest)) * spread)}
 }
 
 // full says by which code an ask is refused for want of room. A team may hold
@@ -91,9 +91,9 @@
 	asks := a.conf.Requests - a.total.asks
 	tokens := a.conf.Tokens - a.total.tokens
 	switch {
-	case asks < 1 || tokens < it.ask.Tokens:
+	case asks < 1 || tokens < it.ask.PromptTokens:
 		return Saturated
-	case l.asks > 0 && (l.asks >= asks || l.tokens+it.ask.Tokens > tokens):
+	case l.asks > 0 && (l.asks >= asks || l.tokens+it.ask.PromptTokens > tokens):
 		return Share
 	}
 	return ""
@@ -126,13 +126,13 @@
 }
 
 // placed is how long work that is already placed delays the next.
-func (a *Admitter) placed(p Pace) time.Duration {
+func (a *Admitter) placed(p Capacity) time.Duration {
 	return seconds(p.PrefillLeft / p.prefill())
 }
 
 // rate is the cost served per second, given the mix that waits: the prompts
 // are bound by prefill, the answers by slots, and the slower of the two counts.
-func (a *Admitter) rate(it *item, p Pace) float64 {
+func (a *Admitter) rate(it *item, p Capacity) float64 {
 	l := it.band.load
 	l.add(it.ask, it.cost, 1)
 	read := float64(l.tokens) / p.prefill()
@@ -141,7 +141,7 @@
 }
 
 // rebuild reckons again when each waiting ask must start, at a slower pace.
-func (a *Admitter) rebuild(p Pace) {
+func (a *Admitter) rebuild(p Capacity) {
 	a.pace = p
 	for _, it := range a.latest {
 		it.start = a.start(it.ask, p)
@@ -149,18 +149,18 @@
 	heap.Init(&a.latest)
 }
 
-func slower(p, than Pace) bool {
+func slower(p, than Capacity) bool {
 	return p.alone() < slowdown*than.alone() || p.decode() < slowdown*than.decode()
 }
 
 // A pace of zero is that of a fleet that does nothing: all is late.
-func (p Pace) prefill() float64 { return max(p.Prefill, 1e-3) }
+func (p Capacity) prefill() float64 { return max(p.PrefillRate, 1e-3) }
 
-func (p Pace) decode() float64 { return max(p.Decode, 1e-3) }
+func (p Capacity) decode() float64 { return max(p.DecodeRate, 1e-3) }
 
-func (p Pace) alone() float64 {
-	if p.Alone > 0 {
-		return p.Alone
+func (p Capacity) alone() float64 {
+	if p.UpstreamPrefillRate > 0 {
+		return p.UpstreamPrefillRate
 	}
 	return p.prefill()
 }
--- a/entry/request/admitter/first.go
+++ b/entry/request/admitter/first.go
@@ -1,11 +1,11 @@
 package admitter
 
 // nextFirst is Next of the baseline: only the head of the one queue is tried.
-func (a *Admitter) nextFirst(place func(Ask) bool) (Ask, bool) {
+func (a *Admitter) nextFirst(place func(Request) bool) (Request, bool) {
 	for len(a.line) > 0 {
 		it, ok := a.items[a.line[0]]
 		if ok && !place(it.ask) {
-			return Ask{}, false
+			return Request{}, false
 		}
 		a.line = a.line[1:]
 		if ok {
@@ -13,5 +13,5 @@
 			return it.ask, true
 		}
 	}
-	return Ask{}, false
+	return Request{}, false
 }
--- a/entry/request/admitter/property_test.go
+++ b/entry/request/admitter/property_test.go
@@ -14,7 +14,7 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // pace reads a thousand tokens a second.
-var pace = admitter.Pace{Slots: 1000, Prefill: 1000, Decode: 1000}
+var pace = admitter.Capacity{Slots: 1000, PrefillRate: 1000, DecodeRate: 1000}
 
 // A machine offers, places, removes and expires at random, and knows what
 // must wait.
@@ -22,22 +22,22 @@
 	adm     *admitter.Admitter
 	now     time.Time
 	id      uint64
-	waiting map[uint64]admitter.Ask
+	waiting map[uint64]admitter.Request
 }
 
 func newMachine() *machine {
-	return &machine{adm: admitter.New(admitter.Config{}), now: epoch, waiting: map[uint64]admitter.Ask{}}
+	return &machine{adm: admitter.New(admitter.Config{}), now: epoch, waiting: map[uint64]admitter.Request{}}
 }
 
 func (m *machine) offer(t *rapid.T) {
 	m.id++
-	a := admitter.Ask{
-		ID:      m.id,
-		Team:    fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "team")),
-		Share:   rapid.IntRange(0, 3).Draw(t, "share"),
-		Tokens:  rapid.SampledFrom([]int{1, 900, 16_000, 20_000, 100_000, 500_000}).Draw(t, "tokens"),
-		Output:  rapid.IntRange(0, 100).Draw(t, "output"),
-		Arrived: m.now,
+	a := admitter.Request{
+		ID:           m.id,
+		Team:         fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "team")),
+		Share:        rapid.IntRange(0, 3).Draw(t, "share"),
+		PromptTokens: rapid.SampledFrom([]int{1, 900, 16_000, 20_000, 100_000, 500_000}).Draw(t, "tokens"),
+		MaxOutput:    rapid.IntRange(0, 100).Draw(t, "output"),
+		Arrived:      m.now,
 	}
 	a.Deadline = m.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "limit")) * time.Second)
 	if m.adm.Offer(m.now, a, pace) == nil {
@@ -46,7 +46,7 @@
 }
 
 // leave checks that an ask that comes out was there, once.
-func (m *machine) leave(t *rapid.T, a admitter.Ask) {
+func (m *machine) leave(t *rapid.T, a admitter.Request) {
 	if _, ok := m.waiting[a.ID]; !ok {
 		t.Fatalf("ask %d came out and did not wait", a.ID)
 	}
@@ -56,9 +56,9 @@
 func (m *machine) next(t *rapid.T) {
 	most := rapid.SampledFrom([]int{0, 1000, 50_000, 1_000_000}).Draw(t, "most")
 	calls := 0
-	a, ok := m.adm.Next(m.now, func(a admitter.Ask) bool {
+	a, ok := m.adm.Next(m.now, func(a admitter.Request) bool {
 		calls++
-		return a.Tokens <= most
+		return a.PromptTokens <= most
 	})
 	if calls > 8 {
 		t.Fatalf("%d calls of place", calls)
@@ -66,14 +66,14 @@
 	if !ok {
 		return
 	}
-	if a.Tokens > most {
-		t.Fatalf("ask of %d tokens placed where %d fit", a.Tokens, most)
+	if a.PromptTokens > most {
+		t.Fatalf("ask of %d tokens placed where %d fit", a.PromptTokens, most)
 	}
 	if !m.now.Before(a.Deadline) {
 		t.Fatalf("ask placed after its deadline")
 	}
 	for _, o := range m.waiting {
-		if o.Team == a.Team && o.Tokens == a.Tokens && o.Deadline.Before(a.Deadline) && m.now.Before(o.Deadline.Add(-time.Hour)) {
+		if o.Team == a.Team && o.PromptTokens == a.PromptTokens && o.Deadline.Before(a.Deadline) && m.now.Before(o.Deadline.Add(-time.Hour)) {
 			t.Fatalf("ask %d passed %d of its team, which is due earlier", a.ID, o.ID)
 		}
 	}
@@ -103,7 +103,7 @@
 // of Next where everything finds a place, and the rest out of Expire.
 func (m *machine) drain(t *rapid.T) {
 	for {
-		a, ok := m.adm.Next(m.now, func(admitter.Ask) bool { return true })
+		a, ok := m.adm.Next(m.now, func(admitter.Request) bool { return true })
 		if !ok {
 			break
 		}
@@ -118,7 +118,7 @@
 func (m *machine) check(t *rapid.T) {
 	tokens := 0
 	for _, a := range m.waiting {
-		tokens += a.Tokens
+		tokens += a.PromptTokens
 	}
 	// Asks that Next found too late are out of the queue until Expire hands
 	// them out.
@@ -170,12 +170,12 @@
 
 // serve places one ask on an upstream that reads one prompt after another.
 func (m *machine) serve(t *rapid.T) {
-	a, ok := m.adm.Next(m.now, func(admitter.Ask) bool { return true })
+	a, ok := m.adm.Next(m.now, func(admitter.Request) bool { return true })
 	if !ok {
 		return
 	}
 	m.leave(t, a)
-	m.now = m.now.Add(time.Duration(float64(a.Tokens) / pace.Prefill * float64(time.Second)))
+	m.now = m.now.Add(time.Duration(float64(a.PromptTokens) / pace.PrefillRate * float64(time.Second)))
 }
 
 // Two teams that always have something waiting get tokens in the ratio of
@@ -189,9 +189,9 @@
 		id := uint64(0)
 		offer := func(team string) {
 			id++
-			a := admitter.Ask{ID: id, Team: team, Share: shares[team], Tokens: rapid.IntRange(1, 16_000).Draw(t, "tokens")}
+			a := admitter.Request{ID: id, Team: team, Share: shares[team], PromptTokens: rapid.IntRange(1, 16_000).Draw(t, "tokens")}
 			a.Arrived, a.Deadline = epoch, epoch.Add(1000*time.Hour)
-			longest = max(longest, float64(a.Tokens))
+			longest = max(longest, float64(a.PromptTokens))
 			assert.Assert(t, adm.Offer(epoch, a, pace) == nil)
 		}
 		for range 3 {
@@ -199,8 +199,8 @@
 			offer("b")
 		}
 		for range 100 {
-			a, _ := adm.Next(epoch, func(admitter.Ask) bool { return true })
-			served[a.Team] += float64(a.Tokens) / float64(shares[a.Team])
+			a, _ := adm.Next(epoch, func(admitter.Request) bool { return true })
+			served[a.Team] += float64(a.PromptTokens) / float64(shares[a.Team])
 			offer(a.Team)
 			// A round gives 256 tokens a share; being paid up is known to the
 			// round, and so to within one.
--- a/entry/request/chatter/chatter.go
+++ b/entry/request/chatter/chatter.go
@@ -247,10 +247,10 @@
 	return nil
 }
 
-func (j *job) ask() admitter.Ask {
+func (j *job) ask() admitter.Request {
 	head := j.chat.Prompt[:min(headSize, len(j.chat.Prompt))]
-	return admitter.Ask{
-		Team: j.team.Name, Share: j.team.Share, Tokens: j.tokens, Output: j.output,
-		Arrived: j.arrived, Deadline: j.deadline, Head: xxhash.Sum64String(head),
+	return admitter.Request{
+		Team: j.team.Name, Share: j.team.Share, PromptTokens: j.tokens, MaxOutput: j.output,
+		Arrived: j.arrived, Deadline: j.deadline, PrefixHash: xxhash.Sum64String(head),
 	}
 }
--- a/entry/request/chatter/fake_test.go
+++ b/entry/request/chatter/fake_test.go
@@ -156,7 +156,7 @@
 		p.mu.Lock()
 		p.given = append(p.given, u.Name)
 		p.mu.Unlock()
-		return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: u, Tokens: c.Ask.Tokens, Slot: place{places: p}}}}, nil
+		return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: u, Tokens: c.Ask.PromptTokens, Slot: place{places: p}}}}, nil
 	}
 	return nil, refuser.New(http.StatusTooManyRequests, "saturated", "full").WithRetryAfter(time.Second)
 }
@@ -168,7 +168,7 @@
 	g := &dispatcher.Grant{}
 	for i, u := range c.Pool.Upstreams {
 		g.Parts = append(g.Parts, dispatcher.Part{
-			Upstream: u, Tokens: c.Ask.Tokens / len(c.Pool.Upstreams), Slot: place{places: p, part: i},
+			Upstream: u, Tokens: c.Ask.PromptTokens / len(c.Pool.Upstreams), Slot: place{places: p, part: i},
 		})
 	}
 	return g
--- a/entry/request/grouper/grouper.go
+++ b/entry/request/grouper/grouper.go
@@ -93,10 +93,10 @@
 func capacities(cs []router.Candidate, engineShare float64, cold bool) (engines []engineCapacity, free, capacity int) {
 	for i := range cs {
 		c := &cs[i]
-		total := int(engineShare * float64(c.Memory))
+		total := int(engineShare * float64(c.KVCapacity))
 		e := engineCapacity{name: c.Name, zone: c.Zone, total: total}
-		if c.Free > 0 && (cold || !c.Cold) {
-			e.free = max(0, min(total, c.Memory-c.Used-c.SentTokens))
+		if c.FreeSlots > 0 && (cold || !c.Cold) {
+			e.free = max(0, min(total, c.KVCapacity-c.KVUsed-c.UnreportedTokens))
 		}
 		free += e.free
 		capacity += e.total
--- a/entry/request/grouper/grouper_test.go
+++ b/entry/request/grouper/grouper_test.go
@@ -15,7 +15,7 @@
 )
 
 func engine(name, zone string, total, used int) router.Candidate {
-	return router.Candidate{Name: name, Zone: zone, Free: 1, Memory: total, Used: used}
+	return router.Candidate{Name: name, Zone: zone, FreeSlots: 1, KVCapacity: total, KVUsed: used}
 }
 
 func TestPlan(t *testing.T) {
@@ -23,9 +23,9 @@
 		engine("c", "z1", 400, 0), engine("a", "z1", 400, 0), engine("b", "z1", 400, 0), engine("d", "z2", 400, 0),
 	}
 	busy := slices.Clone(empty)
-	busy[0].Used, busy[1].Used = 300, 300
+	busy[0].KVUsed, busy[1].KVUsed = 300, 300
 	cold := slices.Clone(empty)
-	cold[0].Cold, cold[1].Free = true, 0
+	cold[0].Cold, cold[1].FreeSlots = true, 0
 	tests := []struct {
 		name           string
 		tokens, output int
@@ -71,7 +71,7 @@
 			total := rapid.IntRange(1, 1000).Draw(t, "memory")
 			c := engine(fmt.Sprint("e", i), fmt.Sprint(i%3), total, rapid.IntRange(0, total).Draw(t, "used"))
 			cs = append(cs, c)
-			last = c.Memory - c.Used
+			last = c.KVCapacity - c.KVUsed
 			free[c.Name] = last
 			all += last
 		}
--- a/entry/request/passer/passer.go
+++ b/entry/request/passer/passer.go
@@ -209,6 +209,6 @@
 	return p.vm + "-" + strconv.FormatUint(p.boot, 36) + "-c" + strconv.FormatUint(n, 36)
 }
 
-func (c *call) ask() admitter.Ask {
-	return admitter.Ask{Team: c.team.Name, Share: c.team.Share, Arrived: c.arrived, Deadline: c.deadline}
+func (c *call) ask() admitter.Request {
+	return admitter.Request{Team: c.team.Name, Share: c.team.Share, Arrived: c.arrived, Deadline: c.deadline}
 }
--- a/entry/request/router/baseline.go
+++ b/entry/request/router/baseline.go
@@ -12,12 +12,12 @@
 type random struct{ rand *rand.Rand }
 
 // Pick takes any candidate that has room, each with the same chance.
-func (p *random) Pick(_ time.Time, a admitter.Ask, cs []Candidate) (int, bool) {
+func (p *random) Pick(_ time.Time, a admitter.Request, cs []Candidate) (int, bool) {
 	return anyOf(p.rand, &a, cs)
 }
 
 // anyOf chooses one of those with room, in one pass and without memory.
-func anyOf(r *rand.Rand, a *admitter.Ask, cs []Candidate) (int, bool) {
+func anyOf(r *rand.Rand, a *admitter.Request, cs []Candidate) (int, bool) {
 	index, seen := 0, 0
 	for i := range cs {
 		if !cs[i].takes(a) {
@@ -35,7 +35,7 @@
 
 // Pick takes the candidate with the fewest requests in progress, ties at
 // random.
-func (p *least) Pick(_ time.Time, a admitter.Ask, cs []Candidate) (int, bool) {
+func (p *least) Pick(_ time.Time, a admitter.Request, cs []Candidate) (int, bool) {
 	index, seen := -1, 0
 	for i := range cs {
 		if !cs[i].takes(&a) {
@@ -57,7 +57,7 @@
 type two struct{ rand *rand.Rand }
 
 // Pick takes of two candidates the one with fewer requests in progress.
-func (p *two) Pick(_ time.Time, a admitter.Ask, cs []Candidate) (int, bool) {
+func (p *two) Pick(_ time.Time, a admitter.Request, cs []Candidate) (int, bool) {
 	i, ok := anyOf(p.rand, &a, cs)
 	if !ok {
 		return 0, false
--- a/entry/request/router/bench_test.go
+++ b/entry/request/router/bench_test.go
@@ -20,7 +20,7 @@
 	var cs []router.Candidate
 	for i, u := range router.Subset("v1", numbered("e", n), used) {
 		c := idle(u)
-		c.Home = i%8 == 0
+		c.Primary = i%8 == 0
 		cs = append(cs, c)
 	}
 	return cs
@@ -43,12 +43,12 @@
 	p, err := router.New(router.Best, rand.New(rand.NewPCG(1, 2)))
 	assert.NilError(b, err)
 	adm := admitter.New(admitter.Config{Requests: 1 << 30, Tokens: 1 << 40})
-	pace := admitter.Pace{Slots: 1000, Prefill: 1e6, Alone: prefill, Decode: decode}
+	pace := admitter.Capacity{Slots: 1000, PrefillRate: 1e6, UpstreamPrefillRate: prefill, DecodeRate: decode}
 	id := uint64(0)
 	offer := func() {
 		id++
-		a := admitter.Ask{
-			ID: id, Team: teams[id%uint64(len(teams))], Share: 1, Tokens: int(1000 + id*7919%7000), Output: 100,
+		a := admitter.Request{
+			ID: id, Team: teams[id%uint64(len(teams))], Share: 1, PromptTokens: int(1000 + id*7919%7000), MaxOutput: 100,
 			Arrived: epoch, Deadline: epoch.Add(10_000*time.Hour + time.Duration(id)*time.Millisecond),
 		}
 		if r := adm.Offer(epoch, a, pace); r != nil {
@@ -58,7 +58,7 @@
 	for range 3000 {
 		offer()
 	}
-	place := func(a admitter.Ask) bool {
+	place := func(a admitter.Request) bool {
 		_, ok := p.Pick(epoch, a, cs)
 		return ok
 	}
@@ -79,7 +79,7 @@
 			b.Run(fmt.Sprintf("upstreams=%d/%s", n, policy), func(b *testing.B) {
 				p, err := router.New(policy, rand.New(rand.NewPCG(1, 2)))
 				assert.NilError(b, err)
-				a := admitter.Ask{Tokens: 3000, Output: 100, Arrived: epoch, Deadline: epoch.Add(time.Minute)}
+				a := admitter.Request{PromptTokens: 3000, MaxOutput: 100, Arrived: epoch, Deadline: epoch.Add(time.Minute)}
 				b.ReportAllocs()
 				for b.Loop() {
 					p.Pick(epoch, a, cs)
@@ -109,7 +109,7 @@
 			vms, up := numbered("v", s.vms), numbered("e", s.up)
 			b.ReportAllocs()
 			for b.Loop() {
-				router.Homes(vms, up)
+				router.AssignPrimaries(vms, up)
 			}
 		})
 	}
--- a/entry/request/router/best.go
+++ b/entry/request/router/best.go
@@ -78,7 +78,7 @@
 
 // A need is an ask as one Pick sees it.
 type need struct {
-	ask *admitter.Ask
+	ask *admitter.Request
 	// left is the seconds to the deadline.
 	left float64
 	// long says that the prompt is long, split that some engines are set
@@ -90,11 +90,11 @@
 }
 
 // Pick takes one of those with nearly the least estimated time.
-func (p *best) Pick(now time.Time, a admitter.Ask, cs []Candidate) (int, bool) {
+func (p *best) Pick(now time.Time, a admitter.Request, cs []Candidate) (int, bool) {
 	n := need{
 		ask:     &a,
 		left:    a.Deadline.Sub(now).Seconds(),
-		long:    Long(a.Tokens),
+		long:    IsLongPrompt(a.PromptTokens),
 		split:   split(cs),
 		patient: now.Sub(a.Arrived) >= patience,
 	}
@@ -145,8 +145,8 @@
 // probe now and then chooses a slow engine. Without probes an engine once seen
 // slow would get nothing and so never be seen to have recovered; with more
 // than one at a time, a slow engine would spoil more answers than needed.
-func (p *best) probe(a *admitter.Ask, cs []Candidate) (int, bool) {
-	if a.Tokens > probeTokens || p.rand.IntN(probe) != 0 {
+func (p *best) probe(a *admitter.Request, cs []Candidate) (int, bool) {
+	if a.PromptTokens > probeTokens || p.rand.IntN(probe) != 0 {
 		return 0, false
 	}
 	index, seen := 0, 0
@@ -166,7 +166,7 @@
 // one kind, that kind takes everything.
 func split(cs []Candidate) bool {
 	for i := range cs {
-		if cs[i].Long != cs[0].Long {
+		if cs[i].LongOnly != cs[0].LongOnly {
 			return true
 		}
 	}
@@ -190,7 +190,7 @@
 // or a VM whose home engines are slow would wait for them.
 func (n *need) anyHome(cs []Candidate) bool {
 	for i := range cs {
-		if cs[i].Home && n.kind(&cs[i]) && !cs[i].slow() {
+		if cs[i].Primary && n.kind(&cs[i]) && !cs[i].slow() {
 			return true
 		}
 	}
@@ -201,47 +201,47 @@
 // A short prompt that finds such an engine idle could still meet there a long
 // one that another VM sent a moment ago, and wait for it for a minute.
 func (n *need) kind(c *Candidate) bool {
-	return !n.split || c.Long == n.long
+	return !n.split || c.LongOnly == n.long
 }
 
 // may says whether the candidate may take the ask at all.
 func (c *Candidate) may(n *need) bool {
-	if !c.takes(n.ask) || !n.kind(c) || (c.slow() && c.Mine+c.Sent > 0) {
+	if !c.takes(n.ask) || !n.kind(c) || (c.slow() && c.OwnStreams+c.UnreportedRequests > 0) {
 		return false
 	}
-	return c.Home || !n.homes || (c.Guest && n.patient)
+	return c.Primary || !n.homes || (c.Secondary && n.patient)
 }
 
-// Long says that a prompt of so many tokens is one of those that engines are
+// IsLongPrompt says that a prompt of so many tokens is one of those that engines are
 // set apart for.
-func Long(tokens int) bool { return tokens > longPrompt }
+func IsLongPrompt(tokens int) bool { return tokens > longPrompt }
 
-func (c *Candidate) slow() bool { return c.Speed > 0 && c.Speed < slow }
+func (c *Candidate) slow() bool { return c.SpeedRatio > 0 && c.SpeedRatio < slow }
 
 // cost is the estimated seconds to the first token, or false where the ask had
 // better wait: the engine has work unread, or could not end it in time.
 func (c *Candidate) cost(n *need) (float64, bool) {
-	if c.Prefill <= 0 {
+	if c.PrefillRate <= 0 {
 		return c.plain(), true
 	}
 	rate := c.rate()
-	decode := max(c.Decode, 1) * c.speed()
+	decode := max(c.DecodeRate, 1) * c.speed()
 	if !c.idle(n, rate) {
 		return 0, false
 	}
-	read := float64(n.ask.Tokens) / rate
-	if c.Cached {
+	read := float64(n.ask.PromptTokens) / rate
+	if c.PrefixCached {
 		read -= min(read*(1-cachedPart), detour)
 	}
 	cost := c.backlog(rate)/rate + read
-	if cost+float64(n.ask.Output)/decode > n.left {
+	if cost+float64(n.ask.MaxOutput)/decode > n.left {
 		return 0, false
 	}
-	cost += float64(min(n.ask.Output, early)) / decode
+	cost += float64(min(n.ask.MaxOutput, early)) / decode
 	if over := c.progress() + 1 - c.Slots; over > 0 && c.Slots > 0 {
 		// Its slots are full by its own account: the ask waits there for one
 		// of the streams to end.
-		cost += float64(over) * float64(n.ask.Output) / decode / float64(c.Slots)
+		cost += float64(over) * float64(n.ask.MaxOutput) / decode / float64(c.Slots)
 	}
 	return cost + c.dislike(n), true
 }
@@ -253,10 +253,10 @@
 	switch {
 	case !n.homes:
 		return c.backlog(rate) <= hold*rate
-	case c.Home:
-		return float64(c.Unread) <= holdHome*rate && c.foreign(rate) <= hold*rate
+	case c.Primary:
+		return float64(c.OwnPrefillLeft) <= holdHome*rate && c.foreign(rate) <= hold*rate
 	default:
-		return c.PrefillLeft+c.SentTokens == 0
+		return c.PrefillLeft+c.UnreportedTokens == 0
 	}
 }
 
@@ -264,16 +264,16 @@
 // At a home engine there is little of it, but where the engine has just become
 // this VM's home, or was set apart for long prompts until now.
 func (c *Candidate) foreign(rate float64) float64 {
-	return float64(c.PrefillLeft) - rate*c.Age.Seconds() - float64(c.Unread)
+	return float64(c.PrefillLeft) - rate*c.ReportAge.Seconds() - float64(c.OwnPrefillLeft)
 }
 
 // dislike is what counts against the engine beside its work, in seconds.
 func (c *Candidate) dislike(n *need) float64 {
 	cost := 0.0
-	if n.homes && !c.Home {
+	if n.homes && !c.Primary {
 		cost += away
 	}
-	if !c.Near {
+	if !c.SameZone {
 		cost += far
 	}
 	if c.Cold {
@@ -286,7 +286,7 @@
 // taken.
 func (c *Candidate) plain() float64 {
 	cost := full * float64(c.progress()+1) / float64(max(1, c.Slots))
-	if !c.Near {
+	if !c.SameZone {
 		cost += far
 	}
 	if c.Cold {
@@ -299,6 +299,6 @@
 // reported, less what it will have read since, and what was sent since; and
 // never less than what this VM knows to be unread.
 func (c *Candidate) backlog(rate float64) float64 {
-	left := max(0, float64(c.PrefillLeft)-rate*c.Age.Seconds())
-	return max(left+float64(c.SentTokens), float64(c.Unread))
+	left := max(0, float64(c.PrefillLeft)-rate*c.ReportAge.Seconds())
+	return max(left+float64(c.UnreportedTokens), float64(c.OwnPrefillLeft))
 }
--- a/entry/request/router/engine_test.go
+++ b/entry/request/router/engine_test.go
@@ -28,7 +28,7 @@
 
 func (f *fleet) arrive(e *engine, c *call) {
 	e.sent = append(e.sent, f.now)
-	need := c.ask.Tokens + c.ask.Output
+	need := c.ask.PromptTokens + c.ask.MaxOutput
 	if e.running >= slots || e.used+need > memory {
 		e.queue = append(e.queue, c)
 		return
@@ -39,7 +39,7 @@
 	e.advance(f.now)
 	e.unread = append(e.unread, c)
 	if len(e.unread) == 1 {
-		e.left = float64(c.ask.Tokens)
+		e.left = float64(c.ask.PromptTokens)
 		f.plan(e)
 	}
 }
@@ -57,15 +57,15 @@
 		e.unread = e.unread[1:]
 		e.left = 0
 		if len(e.unread) > 0 {
-			e.left = float64(e.unread[0].ask.Tokens)
+			e.left = float64(e.unread[0].ask.PromptTokens)
 			f.plan(e)
 		}
 		c.first = f.now + hop // told to its VM then
 		f.at(c.first, func() {
-			c.vm.mine[c.engine].unread -= c.ask.Tokens
+			c.vm.mine[c.engine].unread -= c.ask.PromptTokens
 			f.dispatch(c.vm)
 		})
-		f.at(c.first+time.Duration(float64(c.ask.Output)/decode*e.slower*float64(time.Second)), func() { f.finish(e, c) })
+		f.at(c.first+time.Duration(float64(c.ask.MaxOutput)/decode*e.slower*float64(time.Second)), func() { f.finish(e, c) })
 	})
 }
 
@@ -74,7 +74,7 @@
 	m := &c.vm.mine[c.engine]
 	m.calls = slices.DeleteFunc(m.calls, func(o *call) bool { return o == c })
 	e.running--
-	e.used -= c.ask.Tokens + c.ask.Output
+	e.used -= c.ask.PromptTokens + c.ask.MaxOutput
 	if len(e.queue) > 0 {
 		next := e.queue[0]
 		e.queue = e.queue[1:]
--- a/entry/request/router/fleet_test.go
+++ b/entry/request/router/fleet_test.go
@@ -53,7 +53,7 @@
 
 // A call is one request and what became of it.
 type call struct {
-	ask     admitter.Ask
+	ask     admitter.Request
 	at      time.Duration
 	first   time.Duration // first token; 0 if none came
 	end     time.Duration // whole answer
@@ -193,11 +193,11 @@
 		}
 		c := &call{at: t}
 		v := f.vms[r.IntN(len(f.vms))]
-		c.ask = admitter.Ask{
+		c.ask = admitter.Request{
 			ID: uint64(len(f.calls) + 1), Team: l.team, Share: max(1, l.share),
-			Tokens:  int(float64(l.least) * math.Pow(float64(l.most)/float64(l.least), r.Float64())),
-			Output:  l.output/4 + r.IntN(l.output*3/4+1),
-			Arrived: epoch.Add(t), Deadline: epoch.Add(t + l.limit),
+			PromptTokens: int(float64(l.least) * math.Pow(float64(l.most)/float64(l.least), r.Float64())),
+			MaxOutput:    l.output/4 + r.IntN(l.output*3/4+1),
+			Arrived:      epoch.Add(t), Deadline: epoch.Add(t + l.limit),
 		}
 		f.calls = append(f.calls, c)
 		f.at(t, func() { f.offer(v, c) })
@@ -205,14 +205,14 @@
 }
 
 func (f *fleet) offer(v *vm, c *call) {
-	if c.ask.Tokens > 64<<10 {
-		f.offered[1] += c.ask.Tokens
+	if c.ask.PromptTokens > 64<<10 {
+		f.offered[1] += c.ask.PromptTokens
 	} else {
-		f.offered[0] += c.ask.Tokens
+		f.offered[0] += c.ask.PromptTokens
 	}
-	if r := v.adm.Offer(f.clock(), c.ask, router.Pace(f.candidates(v), c.ask.Tokens)); r != nil {
+	if r := v.adm.Offer(f.clock(), c.ask, router.EstimateCapacity(f.candidates(v), c.ask.PromptTokens)); r != nil {
 		c.refused, c.refusal = r, f.now
-		if f.back && r.After > 0 && c.again == 0 {
+		if f.back && r.RetryAfter > 0 && c.again == 0 {
 			f.comeBack(v, c)
 		}
 		return
@@ -223,23 +223,23 @@
 
 // comeBack offers a refused call once more, when it was told to come back.
 func (f *fleet) comeBack(v *vm, c *call) {
-	again := &call{at: f.now + c.refused.After, again: c.ask.ID, ask: c.ask}
+	again := &call{at: f.now + c.refused.RetryAfter, again: c.ask.ID, ask: c.ask}
 	again.ask.ID = uint64(len(f.calls) + 1)
-	again.ask.Arrived = c.ask.Arrived.Add(c.refused.After)
-	again.ask.Deadline = c.ask.Deadline.Add(c.refused.After)
+	again.ask.Arrived = c.ask.Arrived.Add(c.refused.RetryAfter)
+	again.ask.Deadline = c.ask.Deadline.Add(c.refused.RetryAfter)
 	f.calls = append(f.calls, again)
 	f.at(again.at, func() { f.offer(v, again) })
 }
 
 func (f *fleet) dispatch(v *vm) {
 	cands := f.candidates(v)
-	for _, a := range v.adm.Expire(f.clock(), router.Pace(cands, 0)) {
+	for _, a := range v.adm.Expire(f.clock(), router.EstimateCapacity(cands, 0)) {
 		f.pending[a.ID].refused = &admitter.Refusal{Code: "expired"}
 		f.pending[a.ID].refusal = f.now
 	}
 	for {
 		index := 0
-		a, ok := v.adm.Next(f.clock(), func(a admitter.Ask) bool {
+		a, ok := v.adm.Next(f.clock(), func(a admitter.Request) bool {
 			var ok bool
 			index, ok = v.pick.Pick(f.clock(), a, cands)
 			return ok
@@ -253,16 +253,16 @@
 		}
 		c.placed, c.engine, c.sent = true, index, f.now
 		k := &cands[index]
-		c.backlog = max(0, float64(k.PrefillLeft)-prefill*k.Age.Seconds()) + float64(k.SentTokens+a.Tokens)
-		k.Free--
-		k.Mine++
-		k.Sent++
-		k.SentTokens += a.Tokens
-		k.Unread += a.Tokens
+		c.backlog = max(0, float64(k.PrefillLeft)-prefill*k.ReportAge.Seconds()) + float64(k.UnreportedTokens+a.PromptTokens)
+		k.FreeSlots--
+		k.OwnStreams++
+		k.UnreportedRequests++
+		k.UnreportedTokens += a.PromptTokens
+		k.OwnPrefillLeft += a.PromptTokens
 		m := &v.mine[index]
 		m.calls = append(m.calls, c)
 		m.recent = append(m.recent, c)
-		m.unread += a.Tokens
+		m.unread += a.PromptTokens
 		c.vm = v
 		f.at(f.now+hop, func() { f.arrive(f.engs[index], c) })
 	}
@@ -274,18 +274,18 @@
 		r := e.seen(f.now)
 		m := &v.mine[i]
 		k := router.Candidate{
-			Name: e.name, Near: true, Free: slots/f.play.vms - len(m.calls), Slots: slots, Mine: len(m.calls), Unread: m.unread,
-			Running: r.running, Waiting: r.waiting, Used: r.used, Memory: memory, PrefillLeft: int(r.left),
-			Age: f.now - r.at, Prefill: prefill, Decode: decode, Speed: v.gauge.Speed(f.clock(), e.name), Long: i < f.long,
+			Name: e.name, SameZone: true, FreeSlots: slots/f.play.vms - len(m.calls), Slots: slots, OwnStreams: len(m.calls), OwnPrefillLeft: m.unread,
+			Running: r.running, Waiting: r.waiting, KVUsed: r.used, KVCapacity: memory, PrefillLeft: int(r.left),
+			ReportAge: f.now - r.at, PrefillRate: prefill, DecodeRate: decode, SpeedRatio: v.gauge.Speed(f.clock(), e.name), LongOnly: i < f.long,
 		}
-		k.Home = f.homes[e.name] == v.name
-		k.Guest = f.guest(i) == v.name
+		k.Primary = f.homes[e.name] == v.name
+		k.Secondary = f.guest(i) == v.name
 		for len(m.recent) > 0 && m.recent[0].sent < r.at-hop {
 			m.recent = m.recent[1:]
 		}
 		for _, c := range m.recent {
-			k.Sent++
-			k.SentTokens += c.ask.Tokens
+			k.UnreportedRequests++
+			k.UnreportedTokens += c.ask.PromptTokens
 		}
 		v.cands = append(v.cands, k)
 	}
@@ -299,8 +299,8 @@
 		names = append(names, e.name)
 	}
 	f.long, f.turn = n, -1
-	f.homes = router.Homes(f.names, names[:n])
-	maps.Copy(f.homes, router.Homes(f.names, names[n:]))
+	f.homes = router.AssignPrimaries(f.names, names[:n])
+	maps.Copy(f.homes, router.AssignPrimaries(f.names, names[n:]))
 }
 
 // settle lets the splitter see ten minutes of the mean load, as in a fleet that
@@ -335,10 +335,10 @@
 
 // guest gives the engine's guest VM, reckoned once a turn.
 func (f *fleet) guest(i int) string {
-	if turn := int64(f.now / router.Turn); turn != f.turn {
+	if turn := int64(f.now / router.SecondaryTerm); turn != f.turn {
 		f.turn = turn
 		for i, e := range f.engs {
-			f.guests[i] = router.Guest(f.clock(), f.names, e.name, f.homes[e.name])
+			f.guests[i] = router.SecondaryAt(f.clock(), f.names, e.name, f.homes[e.name])
 		}
 	}
 	return f.guests[i]
@@ -353,7 +353,7 @@
 		e.advance(f.now)
 		r := report{at: f.now, running: e.running, waiting: len(e.queue), used: e.used, left: e.left}
 		for _, c := range e.unread[min(1, len(e.unread)):] {
-			r.left += float64(c.ask.Tokens)
+			r.left += float64(c.ask.PromptTokens)
 		}
 		e.reports = append(e.reports, r)
 	}
--- a/entry/request/router/home.go
+++ b/entry/request/router/home.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Turn is how long a VM is the guest of an upstream. It exceeds the usual lag
+// SecondaryTerm is how long a VM is the guest of an upstream. It exceeds the usual lag
 // of reports, so that a guest sees what the guest before it has sent.
-const Turn = 300 * time.Millisecond
+const SecondaryTerm = 300 * time.Millisecond
 
-// Homes gives for each upstream the VM whose home it is, by rendezvous hashing
+// AssignPrimaries gives for each upstream the VM whose home it is, by rendezvous hashing
 // with equal parts: no VM has more than one home more than another. With parts
 // left to chance some VM would have no home at all, and wait at others' for
 // all it sends. Engines set apart for long prompts and the rest are each
 // shared out by a call of their own. All VMs with the same lists agree.
-func Homes(vms, upstreams []string) map[string]string {
+func AssignPrimaries(vms, upstreams []string) map[string]string {
 	homes := make(map[string]string, len(upstreams))
 	if len(vms) == 0 {
 		return homes
@@ -34,11 +34,11 @@
 	return homes
 }
 
-// Guest gives the VM that may use an upstream beside its home at that time:
+// SecondaryAt gives the VM that may use an upstream beside its home at that time:
 // each of the others in turn, in no fixed order, or "" where there are none.
 // VMs whose clocks differ by a little agree but for that little.
-func Guest(now time.Time, vms []string, upstream, home string) string {
-	turn := strconv.FormatInt(now.UnixNano()/int64(Turn), 36)
+func SecondaryAt(now time.Time, vms []string, upstream, home string) string {
+	turn := strconv.FormatInt(now.UnixNano()/int64(SecondaryTerm), 36)
 	return highest(turn+"\x00"+upstream, vms, func(v string) bool { return v != home })
 }
 
--- a/entry/request/router/load_test.go
+++ b/entry/request/router/load_test.go
@@ -192,8 +192,8 @@
 		var waits []float64
 		for _, c := range f.calls {
 			o.count(c, 0, span)
-			if c.refused != nil && c.refused.After > 0 && c.again == 0 {
-				waits = append(waits, c.refused.After.Seconds())
+			if c.refused != nil && c.refused.RetryAfter > 0 && c.again == 0 {
+				waits = append(waits, c.refused.RetryAfter.Seconds())
 			}
 			if c.again > 0 {
 				back++
--- a/entry/request/router/outcome_test.go
+++ b/entry/request/router/outcome_test.go
@@ -53,9 +53,9 @@
 	case late:
 		o.late++
 	case c.end >= from && c.end < to:
-		o.good += float64(c.ask.Tokens)
+		o.good += float64(c.ask.PromptTokens)
 		if isLong(c) {
-			o.longGood += float64(c.ask.Tokens)
+			o.longGood += float64(c.ask.PromptTokens)
 		}
 	}
 }
@@ -85,9 +85,9 @@
 	return s[int(q*float64(len(s)-1))]
 }
 
-func short(c *call) bool { return c.ask.Tokens <= 16<<10 }
+func short(c *call) bool { return c.ask.PromptTokens <= 16<<10 }
 
-func isLong(c *call) bool { return c.ask.Tokens >= 100_000 }
+func isLong(c *call) bool { return c.ask.PromptTokens >= 100_000 }
 
 func after(t time.Duration, pass func(*call) bool) func(*call) bool {
 	return func(c *call) bool { return c.at >= t && pass(c) }
--- a/entry/request/router/router.go
+++ b/entry/request/router/router.go
@@ -21,50 +21,50 @@
 type Candidate struct {
 	// Name and Zone are the upstream's own.
 	Name, Zone string
-	// Near says that it is in this VM's availability zone.
-	Near bool
-	// Free is how many of its slots this VM may take now, and Slots how many
+	// SameZone says that it is in this VM's availability zone.
+	SameZone bool
+	// FreeSlots is how many of its slots this VM may take now, and Slots how many
 	// it has in all.
-	Free, Slots int
-	// Mine is how many of this VM's streams it runs.
-	Mine int
-	// Sent and SentTokens are the requests and prompt tokens that this VM has
+	FreeSlots, Slots int
+	// OwnStreams is how many of this VM's streams it runs.
+	OwnStreams int
+	// UnreportedRequests and UnreportedTokens are the requests and prompt tokens that this VM has
 	// sent since the last report was made.
-	Sent, SentTokens int
-	// Unread is the prompt tokens that this VM has sent and had no first
+	UnreportedRequests, UnreportedTokens int
+	// OwnPrefillLeft is the prompt tokens that this VM has sent and had no first
 	// token for: known without lag, but of this VM's requests only.
-	Unread int
-	// Home says that this VM is the upstream's home, and Guest that this VM may
-	// use it now when its own home upstreams are taken; see Homes and Guest. A VM without any home upstream goes by reports alone.
-	Home, Guest bool
+	OwnPrefillLeft int
+	// Primary says that this VM is the upstream's home, and Secondary that this VM may
+	// use it now when its own home upstreams are taken; see Homes and Secondary. A VM without any home upstream goes by reports alone.
+	Primary, Secondary bool
 	// Running and Waiting are its requests by its last report.
 	Running, Waiting int
-	// Used and Memory are its KV cache in tokens.
-	Used, Memory int
+	// KVUsed and KVCapacity are its KV cache in tokens.
+	KVUsed, KVCapacity int
 	// PrefillLeft is the prompt tokens it had still to read.
 	PrefillLeft int
-	// Age is how old the report is.
-	Age time.Duration
-	// Prefill is the prompt tokens per second it promises over all streams,
-	// Decode the answer tokens per second of one stream.
-	Prefill, Decode float64
-	// Speed is the measured speed over the promised: 1 is as promised, 0.1
+	// ReportAge is how old the report is.
+	ReportAge time.Duration
+	// PrefillRate is the prompt tokens per second it promises over all streams,
+	// DecodeRate the answer tokens per second of one stream.
+	PrefillRate, DecodeRate float64
+	// SpeedRatio is the measured speed over the promised: 1 is as promised, 0.1
 	// ten times slower; 0 reads as 1.
-	Speed float64
+	SpeedRatio float64
 	// Cold says that it is in cold start.
 	Cold bool
-	// Cached says that it seems to have the prompt's prefix. Cache events are
+	// PrefixCached says that it seems to have the prompt's prefix. Cache events are
 	// late and have gaps, so this is never certain.
-	Cached bool
-	// Long says that it is set apart for long prompts.
-	Long bool
+	PrefixCached bool
+	// LongOnly says that it is set apart for long prompts.
+	LongOnly bool
 }
 
 // A Picker chooses a place for a request.
 type Picker interface {
 	// Pick gives the index of the candidate to take, or false where the
 	// request had better wait.
-	Pick(now time.Time, a admitter.Ask, cs []Candidate) (index int, ok bool)
+	Pick(now time.Time, a admitter.Request, cs []Candidate) (index int, ok bool)
 }
 
 // Names of policies.
@@ -99,8 +99,8 @@
 }
 
 // takes says whether the candidate has a slot and memory for the ask.
-func (c *Candidate) takes(a *admitter.Ask) bool {
-	return c.Free > 0 && (c.Memory == 0 || c.Used+c.SentTokens+a.Tokens+a.Output <= c.Memory)
+func (c *Candidate) takes(a *admitter.Request) bool {
+	return c.FreeSlots > 0 && (c.KVCapacity == 0 || c.KVUsed+c.UnreportedTokens+a.PromptTokens+a.MaxOutput <= c.KVCapacity)
 }
 
-func (c *Candidate) progress() int { return c.Running + c.Waiting + c.Sent }
+func (c *Candidate) progress() int { return c.Running + c.Waiting + c.UnreportedRequests }
--- a/entry/request/router/subset_test.go
+++ b/entry/request/router/subset_test.go
@@ -48,7 +48,7 @@
 
 func TestHomesAreEven(t *testing.T) {
 	for _, tt := range []struct{ vms, up int }{{4, 16}, {8, 24}, {7, 15}, {9, 3}, {1, 5}, {330, 1200}} {
-		homes := router.Homes(numbered("v", tt.vms), numbered("e", tt.up))
+		homes := router.AssignPrimaries(numbered("v", tt.vms), numbered("e", tt.up))
 		assert.Equal(t, len(homes), tt.up)
 		count := map[string]int{}
 		for _, v := range homes {
@@ -59,14 +59,14 @@
 			assert.Assert(t, n >= tt.up/tt.vms && n <= (tt.up+tt.vms-1)/tt.vms, "%d of %d on %d", n, tt.up, tt.vms)
 		}
 	}
-	assert.Equal(t, len(router.Homes(nil, []string{"e"})), 0)
+	assert.Equal(t, len(router.AssignPrimaries(nil, []string{"e"})), 0)
 }
 
 func TestGuestsTakeTurns(t *testing.T) {
 	vms := numbered("v", 8)
 	seen := map[string]int{}
 	for i := range 700 {
-		g := router.Guest(epoch.Add(time.Duration(i)*router.Turn), vms, "e1", "v3")
+		g := router.SecondaryAt(epoch.Add(time.Duration(i)*router.SecondaryTerm), vms, "e1", "v3")
 		assert.Assert(t, g != "v3")
 		seen[g]++
 	}
@@ -74,5 +74,5 @@
 	for v, n := range seen {
 		assert.Assert(t, n > 50, "%s has %d turns of 700", v, n)
 	}
-	assert.Equal(t, router.Guest(epoch, []string{"v3"}, "e1", "v3"), "")
+	assert.Equal(t, router.SecondaryAt(epoch, []string{"v3"}, "e1", "v3"), "")
 }
