--- a/entry/request/admitter/admitter.go
+++ b/entry/request/admitter/admitter.go
@@ -1,84 +1,91 @@
-// Package admitter decides what is let in to wait, in which order it waits and
-// what is turned away at once. It answers saturation (three times the load that
-// fits), bursts, one team that sends most of the load, and million-token
-// prompts among short ones. Without it a queue grows until everything in it is
-// late, one team's backlog stands before everybody's, and a short question
-// waits behind a document that takes a minute to read.
+// Package admitter decides which requests may wait for an upstream, in which
+// order they wait, and which are rejected immediately. It handles saturation
+// (three times the load that fits), bursts, a team that sends most of the
+// load, and million-token prompts among short ones. Without it a queue would
+// grow until everything in it misses its deadline, one team's backlog would
+// delay all others, and a short question would wait behind a document that
+// takes a minute to read.
 //
-// Each ask is in a band by prompt length. Bands share the upstreams by weight,
-// counted in tokens; in a band, teams take turns by deficit round robin,
-// counted in tokens, in a form in which a team may overdraw and then waits
-// until it has paid; within a team the earliest deadline goes first. An ask
-// that cannot be done in time, given what is ahead of it in that order, is
-// refused when it comes and not when its time is over.
+// Requests are grouped into bands by prompt length. Bands share the upstreams
+// by weighted fair queueing, counted in tokens. Within a band, teams are served
+// by deficit round robin, also counted in tokens; a team may overdraw and then
+// waits until it has paid off its overdraft. Within a team, the earliest
+// deadline goes first. A request that cannot finish in time, given
+// what is ahead of it in that order, is rejected when it arrives rather than
+// when its time limit ends.
 //
-// The package does not choose upstreams, reads no clock, and is not safe for
-// use by several goroutines.
+// The package does not choose upstreams and reads no clock. It is not safe for
+// concurrent use.
 package admitter
 
 import (
 	"time"
 )
 
-// An Request is a request that wants to be let in.
+// Request is a request that asks for admission.
 type Request struct {
-	// ID is unique among the asks of one Admitter.
+	// ID is unique among the requests of one Admitter.
 	ID uint64
-	// Team names whose it is.
+	// Team is the name of the team that sent it.
 	Team string
-	// Share is the team's weight beside the other teams; below 1 reads as 1.
+	// Share is the weight of the team relative to other teams; values below 1
+	// count as 1.
 	Share int
 	// PromptTokens is the length of the prompt.
 	PromptTokens int
-	// MaxOutput is the most answer tokens that may come.
+	// MaxOutput is the maximum number of answer tokens.
 	MaxOutput int
-	// Arrived is when the request's time limit began to run.
+	// Arrived is when the time limit of the request started.
 	Arrived time.Time
-	// Deadline is when the whole answer must be out.
+	// Deadline is when the whole answer must be complete.
 	Deadline time.Time
-	// PrefixHash is the hash of the prompt's first 4 KiB, by which cached prefixes
-	// are known.
+	// PrefixHash is the hash of the first 4 KiB of the prompt, which
+	// identifies cached prefixes.
 	PrefixHash uint64
 }
 
-// A Capacity is what this VM may expect of a model's upstreams.
+// Capacity is what this VM can expect of the upstreams of a model.
 type Capacity struct {
 	// Slots is how many requests this VM may have in progress.
 	Slots int
 	// PrefillRate is the prompt tokens per second that this VM's share of all
 	// upstreams reads.
 	PrefillRate float64
-	// UpstreamPrefillRate is the prompt tokens per second of a single upstream, which bounds
-	// how soon one prompt can be read; 0 reads as Prefill.
+	// UpstreamPrefillRate is the prompt tokens per second of a single
+	// upstream, which limits how fast one prompt can be read; 0 means
+	// PrefillRate.
 	UpstreamPrefillRate float64
 	// DecodeRate is the answer tokens per second of one stream.
 	DecodeRate float64
-	// Running is how many of the slots are taken.
+	// Running is how many of the slots are in use.
 	Running int
-	// PrefillLeft is how many prompt tokens of work already placed are unread,
-	// on this VM's share.
+	// PrefillLeft is how many prompt tokens of requests already placed are
+	// still unread, in this VM's share.
 	PrefillLeft float64
 }
 
 // Codes of a Refusal.
 const (
-	// Saturated says that the upstreams have more to do than they can in time.
+	// Saturated means that the upstreams cannot finish all their work in time.
 	Saturated = "saturated"
-	// Late says that the ask could not end in time even with nothing ahead.
+	// Late means that the request could not finish in time even with nothing
+	// ahead of it.
 	Late = "late"
-	// Share says that the team's own backlog is what stands before the ask.
+	// Share means that most of the work ahead is the team's own backlog, or that
+	// the team holds its part of the queue's limits.
 	Share = "share"
 )
 
-// A Refusal is the error that turns an ask away. Nothing of it has run.
-type Refusal struct { //nolint:errname // the word that callers meet
+// Refusal is the error for a rejected request. No part of the request has run.
+type Refusal struct { //nolint:errname // callers see this word
 	// Code is Saturated, Late or Share.
 	Code string
-	// RetryAfter is when coming back helps; 0 where it does not.
+	// RetryAfter is the delay after which a retry may succeed; 0 if a retry
+	// does not help.
 	RetryAfter time.Duration
 }
 
-// Error gives the code and the time to come back.
+// Error returns the code and the delay before a retry.
 func (r *Refusal) Error() string {
 	if r.RetryAfter == 0 {
 		return "refused as " + r.Code
@@ -86,106 +93,111 @@
 	return "refused as " + r.Code + ", come back after " + r.RetryAfter.String()
 }
 
-// An Admitter is one model's queue on one VM.
+// Admitter is the queue of one model on one VM.
 type Admitter struct {
-	conf Config
-	// items holds every waiting ask.
+	config Config
+	// items holds every waiting request by ID.
 	items map[uint64]*item
-	// teams counts what each team has waiting, over all bands.
-	teams  map[string]load
-	total  load
-	bands  []*band
-	latest pile[*item]
-	// gone are asks that Next found too late, until Expire hands them out.
-	gone []Request
-	// clock is the virtual time of the bands: the finish tag of the last
-	// band served.
-	clock float64
-	pace  Capacity
-	// line is the queue of the baseline, tries the bands that Next tries.
-	line  []uint64
-	tries []*band
+	// teamLoads sums the waiting requests of each team over all bands.
+	teamLoads     map[string]load
+	total         load
+	bands         []*band
+	byLatestStart indexedHeap[*item]
+	// expired are requests that Next found too late; Expire returns them.
+	expired []Request
+	// virtualTime is the finish time of the last band served, in the virtual
+	// time of the bands.
+	virtualTime float64
+	capacity    Capacity
+	// fifo is the queue of the FIFO baseline, by request ID. bandOrder is the
+	// reused result of bandsByFinishTime.
+	fifo      []uint64
+	bandOrder []*band
 }
 
-// A load sums waiting asks.
+// load sums waiting requests.
 type load struct {
-	asks, tokens, output int
-	cost                 int64
+	requests, promptTokens, maxOutput int
+	cost                              int64
 }
 
-func (l *load) add(a Request, cost int64, sign int) {
-	l.asks += sign
-	l.tokens += sign * a.PromptTokens
-	l.output += sign * a.MaxOutput
+func (l *load) add(req Request, cost int64, sign int) {
+	l.requests += sign
+	l.promptTokens += sign * req.PromptTokens
+	l.maxOutput += sign * req.MaxOutput
 	l.cost += int64(sign) * cost
 }
 
-// An item is a waiting ask.
+// item is a waiting request.
 type item struct {
-	ask  Request
-	cost int64
-	band *band
-	turn *turn
-	// start is the latest moment at which it can be placed and end in time.
-	start time.Time
-	// refused is when place first found no place for it.
-	refused time.Time
-	// index is its place in the heap of latest starts.
+	request Request
+	cost    int64
+	band    *band
+	flow    *flow
+	// latestStart is the latest time at which it can be placed and still finish
+	// before its deadline.
+	latestStart time.Time
+	// blockedSince is when it was first tried and found no upstream.
+	blockedSince time.Time
+	// index is its position in byLatestStart.
 	index int
-	// left, right, rank and sum are its team's tree, in deadline order.
+	// left, right, priority and subtreeCost belong to the treap of its team's
+	// queue, which is ordered by deadline.
 	left, right *item
-	rank        uint64
-	sum         int64
+	priority    uint64
+	subtreeCost int64
 }
 
-// before orders asks by the latest moment of their start.
-func (it *item) before(other *item) bool { return it.start.Before(other.start) }
+// before orders items by latest start.
+func (it *item) before(other *item) bool { return it.latestStart.Before(other.latestStart) }
 
-func (it *item) place() *int { return &it.index }
+func (it *item) heapIndex() *int { return &it.index }
 
 // New returns an empty Admitter.
 func New(c Config) *Admitter {
 	c = c.withDefaults()
-	a := &Admitter{conf: c, items: map[uint64]*item{}, teams: map[string]load{}}
-	n := len(c.Bounds) + 1
-	if c.Queue == First {
+	a := &Admitter{config: c, items: map[uint64]*item{}, teamLoads: map[string]load{}}
+	n := len(c.BandBounds) + 1
+	if c.Queue == FIFO {
 		n = 1
 	}
 	for i := range n {
 		weight := 1
-		if i < len(c.Weights) {
-			weight = max(1, c.Weights[i])
+		if i < len(c.BandWeights) {
+			weight = max(1, c.BandWeights[i])
 		}
 		a.bands = append(a.bands, newBand(float64(weight)))
 	}
 	return a
 }
 
-// Len is how many asks wait.
+// Len returns the number of waiting requests.
 func (a *Admitter) Len() int { return len(a.items) }
 
-// Tokens is the sum of the waiting prompts.
-func (a *Admitter) Tokens() int { return a.total.tokens }
+// Tokens returns the total length of the waiting prompts.
+func (a *Admitter) Tokens() int { return a.total.promptTokens }
 
-// Offer queues the ask, or says why not and when to come back.
-func (a *Admitter) Offer(now time.Time, k Request, p Capacity) *Refusal {
-	if k.Share < 1 {
-		k.Share = 1
+// Offer queues a request, or returns the reason for rejecting it and the delay
+// before a retry.
+func (a *Admitter) Offer(now time.Time, req Request, c Capacity) *Refusal {
+	if req.Share < 1 {
+		req.Share = 1
 	}
-	it := &item{ask: k, cost: a.cost(k), band: a.band(k.PromptTokens)}
-	it.start = a.start(k, p)
-	if r := a.refuse(now, it, p); r != nil {
+	it := &item{request: req, cost: a.cost(req), band: a.bandFor(req.PromptTokens)}
+	it.latestStart = a.latestStart(req, c)
+	if r := a.checkAdmission(now, it, c); r != nil {
 		return r
 	}
-	if _, ok := a.items[k.ID]; ok {
+	if _, ok := a.items[req.ID]; ok {
 		return &Refusal{Code: Saturated}
 	}
-	a.pace = p
+	a.capacity = c
 	a.insert(it)
 	return nil
 }
 
-// Remove takes an ask out, as when its caller has gone.
+// Remove deletes a waiting request, for example because its caller has
+// disconnected.
 func (a *Admitter) Remove(id uint64) bool {
 	it, ok := a.items[id]
 	if ok {
@@ -194,118 +206,120 @@
 	return ok
 }
 
-// Expire takes out the asks that can no longer be done in time, at the pace
-// given, so that their callers learn it now.
-func (a *Admitter) Expire(now time.Time, p Capacity) []Request {
-	if a.conf.Queue == Fair && slower(p, a.pace) {
-		a.rebuild(p)
+// Expire removes and returns the requests that can no longer finish in time at
+// the given capacity, so that their callers can be told immediately.
+func (a *Admitter) Expire(now time.Time, c Capacity) []Request {
+	if a.config.Queue == Fair && isSlower(c, a.capacity) {
+		a.recomputeLatestStarts(c)
 	}
-	a.giveUp(now)
-	gone := a.gone
-	a.gone = nil
-	return gone
+	a.dropExpired(now)
+	expired := a.expired
+	a.expired = nil
+	return expired
 }
 
-// Next gives the next ask in order that place takes, and takes it out. It
-// calls place at most Config.Tries times for each band, so that one call's
-// cost does not grow with the queue. An ask that finds no place holds back
-// nobody of another band, and nobody of its own for Config.Patience.
+// Next removes and returns the first request in order that place accepts. It
+// calls place at most Config.MaxTries times per band, so that the cost of a
+// call does not grow with the queue. A request that place does not accept never
+// blocks other bands, and blocks its own band only once it has been passed over
+// for longer than Config.BypassFraction allows.
 func (a *Admitter) Next(now time.Time, place func(Request) bool) (Request, bool) {
-	a.giveUp(now)
-	if a.conf.Queue == First {
-		return a.nextFirst(place)
+	a.dropExpired(now)
+	if a.config.Queue == FIFO {
+		return a.nextFIFO(place)
 	}
-	for _, b := range a.order() {
-		for _, t := range b.first(a.conf.Tries) {
-			it := t.queue.first()
-			if place(it.ask) {
-				a.serve(it)
-				return it.ask, true
+	for _, b := range a.bandsByFinishTime() {
+		for _, f := range b.firstFlows(a.config.MaxTries) {
+			it := f.queue.first()
+			if place(it.request) {
+				a.dequeue(it)
+				return it.request, true
 			}
-			if it.refused.IsZero() {
-				it.refused = now
+			if it.blockedSince.IsZero() {
+				it.blockedSince = now
 			}
-			limit := it.ask.Deadline.Sub(it.ask.Arrived)
-			if now.Sub(it.refused) > time.Duration(a.conf.Patience*float64(limit)) {
+			limit := it.request.Deadline.Sub(it.request.Arrived)
+			if now.Sub(it.blockedSince) > time.Duration(a.config.BypassFraction*float64(limit)) {
 				break
 			}
 		}
-		b.stuck = true
+		b.blocked = true
 	}
 	return Request{}, false
 }
 
-// giveUp takes out the asks that can no longer be done in time. Placed, they
-// would take an upstream's time for answers that nobody gets.
-func (a *Admitter) giveUp(now time.Time) {
-	for len(a.latest) > 0 && !now.Before(a.latest[0].start) {
-		it := a.latest[0]
+// dropExpired removes the requests that can no longer finish in time. If they
+// were placed, they would use an upstream's time for answers that nobody
+// receives.
+func (a *Admitter) dropExpired(now time.Time) {
+	for len(a.byLatestStart) > 0 && !now.Before(a.byLatestStart[0].latestStart) {
+		it := a.byLatestStart[0]
 		a.delete(it)
-		a.gone = append(a.gone, it.ask)
+		a.expired = append(a.expired, it.request)
 	}
 }
 
-// serve takes out an ask that found a place, and charges its team and band.
-func (a *Admitter) serve(it *item) {
+// dequeue removes a request that has been placed and charges its team and band.
+func (a *Admitter) dequeue(it *item) {
 	b := it.band
-	b.stuck = false
-	b.spent = b.finish(it.cost)
-	a.clock = max(a.clock, b.spent)
-	b.serve(it)
-	a.drop(it)
+	b.blocked = false
+	b.virtualTime = b.finishTime(it.cost)
+	a.virtualTime = max(a.virtualTime, b.virtualTime)
+	b.dequeue(it)
+	a.forget(it)
 }
 
 func (a *Admitter) insert(it *item) {
-	k := it.ask
-	a.items[k.ID] = it
-	l := a.teams[k.Team]
-	l.add(k, it.cost, 1)
-	a.teams[k.Team] = l
-	a.total.add(k, it.cost, 1)
-	a.latest.push(it)
-	if a.conf.Queue == First {
-		a.line = append(a.line, k.ID)
+	req := it.request
+	a.items[req.ID] = it
+	l := a.teamLoads[req.Team]
+	l.add(req, it.cost, 1)
+	a.teamLoads[req.Team] = l
+	a.total.add(req, it.cost, 1)
+	a.byLatestStart.push(it)
+	if a.config.Queue == FIFO {
+		a.fifo = append(a.fifo, req.ID)
 		return
 	}
-	if it.band.load.asks == 0 {
-		// A band that was idle starts where the others are: it has saved up
-		// no claim from the time in which it wanted nothing.
-		it.band.spent = max(it.band.spent, a.clock)
+	if it.band.load.requests == 0 {
+		// A band that was idle starts at the current virtual time, so that it
+		// accumulates no credit while it has no requests.
+		it.band.virtualTime = max(it.band.virtualTime, a.virtualTime)
 	}
 	it.band.insert(it)
 }
 
 func (a *Admitter) delete(it *item) {
-	if a.conf.Queue == Fair {
+	if a.config.Queue == Fair {
 		it.band.delete(it)
 	}
-	a.drop(it)
+	a.forget(it)
 }
 
-// drop forgets an ask that has left its band.
-func (a *Admitter) drop(it *item) {
-	k := it.ask
-	delete(a.items, k.ID)
-	l := a.teams[k.Team]
-	l.add(k, it.cost, -1)
-	a.teams[k.Team] = l
-	if l.asks == 0 {
-		delete(a.teams, k.Team)
+// forget removes a request from all indexes outside its band.
+func (a *Admitter) forget(it *item) {
+	req := it.request
+	delete(a.items, req.ID)
+	l := a.teamLoads[req.Team]
+	l.add(req, it.cost, -1)
+	a.teamLoads[req.Team] = l
+	if l.requests == 0 {
+		delete(a.teamLoads, req.Team)
 	}
-	a.total.add(k, it.cost, -1)
-	a.latest.remove(it)
+	a.total.add(req, it.cost, -1)
+	a.byLatestStart.remove(it)
 }
 
-func (a *Admitter) cost(k Request) int64 {
-	return int64(max(1, k.PromptTokens+a.conf.Answer*k.MaxOutput))
+func (a *Admitter) cost(req Request) int64 {
+	return int64(max(1, req.PromptTokens+a.config.OutputTokenCost*req.MaxOutput))
 }
 
-func (a *Admitter) band(tokens int) *band {
-	if a.conf.Queue == First {
+func (a *Admitter) bandFor(tokens int) *band {
+	if a.config.Queue == FIFO {
 		return a.bands[0]
 	}
-	for i, most := range a.conf.Bounds {
-		if tokens <= most {
+	for i, bound := range a.config.BandBounds {
+		if tokens <= bound {
 			return a.bands[i]
 		}
 	}
--- a/entry/request/admitter/band.go
+++ b/entry/request/admitter/band.go
@@ -4,193 +4,206 @@
 	"math/bits"
 )
 
-// quantum is the tokens that a team of share 1 is given in each round. It is
-// small against any prompt, so that turns follow the shares closely; rounds in
-// which nobody can pay are skipped, so that it costs nothing to be small.
+// quantum is the number of tokens that a team of share 1 receives per round. It
+// is small compared with any prompt, so that the service order follows the
+// shares closely. Rounds in which no team can be served are skipped, so a small
+// quantum costs nothing.
 const quantum = 256
 
-// A band is the asks of similar length, and their teams' turns.
+// band holds requests of similar prompt length and the round-robin state of
+// their teams.
 type band struct {
 	weight float64
-	// spent is the tokens served over the weight: the band's virtual time.
-	spent float64
-	// stuck says that none of its asks found a place when they were last tried.
-	stuck bool
-	// tag is the virtual time at which its first ask would end.
-	tag  float64
-	load load
-	// longest is the highest cost of one ask since the band was last empty.
-	longest int64
-	turns   map[string]*turn
-	heap    pile[*turn]
-	// debtors are the teams that want nothing and have not paid yet.
-	debtors pile[*turn]
-	// round is that of the last ask served, and seq counts turns given.
+	// virtualTime is the number of tokens served, divided by the weight.
+	virtualTime float64
+	// blocked is set when none of the requests last tried found an upstream.
+	blocked bool
+	// finishTag is the virtual time at which its first request would finish.
+	finishTag float64
+	load      load
+	// maxCost is the highest cost of a request since the band was last empty.
+	maxCost int64
+	flows   map[string]*flow
+	heap    indexedHeap[*flow]
+	// overdrawn are the teams with nothing waiting whose overdraft is not paid
+	// off yet.
+	overdrawn indexedHeap[*flow]
+	// round is the round of the last request served; seq numbers the flows in
+	// the order in which they were queued.
 	round, seq int64
-	// sizes groups the teams by the binary logarithm of cost over share.
-	sizes [64]size
-	tries []*turn
+	// sizeClasses groups the teams by the binary logarithm of cost over share.
+	sizeClasses   [64]sizeClass
+	firstFlowsBuf []*flow
 }
 
-// A size sums the teams whose backlog over share is within a factor of two.
-type size struct {
+// sizeClass sums the teams whose backlog over share is within a factor of two
+// of each other.
+type sizeClass struct {
 	cost, share, teams int64
 }
 
-// A turn is one team's place in a band.
-type turn struct {
+// flow is a team's requests and round-robin state in one band.
+type flow struct {
 	team  string
 	share int64
 	queue queue
 	cost  int64
-	// round is when it may be served: when all it was served before is paid.
+	// round is the round from which it may be served, once everything served
+	// before is paid off.
 	round, seq int64
 	index      int
 }
 
-// before orders teams by round, and within a round by who waited longer.
-func (t *turn) before(other *turn) bool {
-	if t.round != other.round {
-		return t.round < other.round
+// before orders flows by round, and within a round by waiting time, longest
+// first.
+func (f *flow) before(other *flow) bool {
+	if f.round != other.round {
+		return f.round < other.round
 	}
-	return t.seq < other.seq
+	return f.seq < other.seq
 }
 
-func (t *turn) place() *int { return &t.index }
+func (f *flow) heapIndex() *int { return &f.index }
 
 func newBand(weight float64) *band {
-	return &band{weight: weight, turns: map[string]*turn{}}
+	return &band{weight: weight, flows: map[string]*flow{}}
 }
 
-// finish is the virtual time at which an ask of this cost would end.
-func (b *band) finish(cost int64) float64 {
-	return b.spent + float64(cost)/b.weight
+// finishTime returns the virtual time at which a request of this cost would
+// finish.
+func (b *band) finishTime(cost int64) float64 {
+	return b.virtualTime + float64(cost)/b.weight
 }
 
-// first gives up to n teams in the order of their turns.
-func (b *band) first(n int) []*turn {
-	b.tries = b.tries[:0]
-	for len(b.tries) < n && len(b.heap) > 0 {
-		b.tries = append(b.tries, b.heap.pop())
+// firstFlows returns up to n flows in service order.
+func (b *band) firstFlows(n int) []*flow {
+	b.firstFlowsBuf = b.firstFlowsBuf[:0]
+	for len(b.firstFlowsBuf) < n && len(b.heap) > 0 {
+		b.firstFlowsBuf = append(b.firstFlowsBuf, b.heap.pop())
 	}
-	for _, t := range b.tries {
-		b.heap.push(t)
+	for _, f := range b.firstFlowsBuf {
+		b.heap.push(f)
 	}
-	return b.tries
+	return b.firstFlowsBuf
 }
 
 func (b *band) insert(it *item) {
-	k := it.ask
-	if b.load.asks == 0 {
-		b.longest = 0
+	req := it.request
+	if b.load.requests == 0 {
+		b.maxCost = 0
 	}
-	b.load.add(k, it.cost, 1)
-	b.longest = max(b.longest, it.cost)
-	t := b.turns[k.Team]
-	if t == nil {
-		t = &turn{team: k.Team}
-		b.turns[k.Team] = t
+	b.load.add(req, it.cost, 1)
+	b.maxCost = max(b.maxCost, it.cost)
+	f := b.flows[req.Team]
+	if f == nil {
+		f = &flow{team: req.Team}
+		b.flows[req.Team] = f
 	}
-	if t.cost == 0 {
-		b.enter(t, int64(k.Share))
+	if f.cost == 0 {
+		b.activate(f, int64(req.Share))
 	}
-	it.turn = t
-	t.queue.insert(it)
-	b.resize(t, it.cost)
+	it.flow = f
+	f.queue.insert(it)
+	b.addCost(f, it.cost)
 }
 
-// enter gives a team with nothing waiting its turn: now, or when it has paid.
-// It has saved up nothing from the time in which it wanted nothing.
-func (b *band) enter(t *turn, share int64) {
-	if t.round > b.round {
-		b.debtors.remove(t)
+// activate queues a flow that had nothing waiting: in the current round, or in
+// the one in which its overdraft is paid off. It accumulates no credit while it
+// has nothing waiting.
+func (b *band) activate(f *flow, share int64) {
+	if f.round > b.round {
+		b.overdrawn.remove(f)
 	}
-	t.share = share
-	t.round = max(t.round, b.round)
+	f.share = share
+	f.round = max(f.round, b.round)
 	b.seq++
-	t.seq = b.seq
-	b.heap.push(t)
+	f.seq = b.seq
+	b.heap.push(f)
 }
 
-// delete takes out an ask that was not served.
+// delete removes a request that was not served.
 func (b *band) delete(it *item) {
-	t := it.turn
-	b.load.add(it.ask, it.cost, -1)
-	t.queue.delete(it)
-	b.resize(t, -it.cost)
-	if t.cost == 0 {
-		b.heap.remove(t)
-		b.leave(t)
+	f := it.flow
+	b.load.add(it.request, it.cost, -1)
+	f.queue.delete(it)
+	b.addCost(f, -it.cost)
+	if f.cost == 0 {
+		b.heap.remove(f)
+		b.deactivate(f)
 	}
 }
 
-// serve takes out the first ask of a team and charges the team for it.
-func (b *band) serve(it *item) {
-	t := it.turn
-	b.round = max(b.round, t.round)
-	each := quantum * t.share
-	t.round += (it.cost + each - 1) / each
+// dequeue removes the first request of a team and charges the team's flow.
+func (b *band) dequeue(it *item) {
+	f := it.flow
+	b.round = max(b.round, f.round)
+	perRound := quantum * f.share
+	f.round += (it.cost + perRound - 1) / perRound
 	b.seq++
-	t.seq = b.seq
-	b.heap.fix(t)
+	f.seq = b.seq
+	b.heap.fix(f)
 	b.delete(it)
-	for len(b.debtors) > 0 && b.debtors[0].round <= b.round {
-		t := b.debtors.pop()
-		delete(b.turns, t.team)
+	for len(b.overdrawn) > 0 && b.overdrawn[0].round <= b.round {
+		f := b.overdrawn.pop()
+		delete(b.flows, f.team)
 	}
 }
 
-// leave keeps a team that has not paid yet, or it would come back with its
-// debt forgotten each time that its queue runs empty.
-func (b *band) leave(t *turn) {
-	if t.round <= b.round {
-		delete(b.turns, t.team)
+// deactivate handles a flow that has become empty. An overdrawn one is kept,
+// because otherwise its overdraft would be forgotten whenever its queue runs
+// empty.
+func (b *band) deactivate(f *flow) {
+	if f.round <= b.round {
+		delete(b.flows, f.team)
 		return
 	}
-	b.debtors.push(t)
+	b.overdrawn.push(f)
 }
 
-func (b *band) resize(t *turn, cost int64) {
-	b.size(t, -1)
-	t.cost += cost
-	b.size(t, 1)
+func (b *band) addCost(f *flow, cost int64) {
+	b.countInSizeClass(f, -1)
+	f.cost += cost
+	b.countInSizeClass(f, 1)
 }
 
-// size counts a team in, or out where sign is negative.
-func (b *band) size(t *turn, sign int64) {
-	if t.cost == 0 {
+// countInSizeClass adds the flow to its size class, or removes it if sign is
+// negative.
+func (b *band) countInSizeClass(f *flow, sign int64) {
+	if f.cost == 0 {
 		return
 	}
-	s := &b.sizes[bits.Len64(uint64(t.cost/t.share))]
-	s.cost += sign * t.cost
-	s.share += sign * t.share
+	s := &b.sizeClasses[bits.Len64(uint64(f.cost/f.share))]
+	s.cost += sign * f.cost
+	s.share += sign * f.share
 	s.teams += sign
 }
 
-// ahead estimates the cost that is served before an ask: what its team has
-// with earlier deadlines, and of each other team its share of that, and one ask
-// more by which it may overdraw. Teams are read by size and not one by one, so
-// that the cost does not grow with their number.
-func (b *band) ahead(it *item) (all, own int64) {
-	share := int64(it.ask.Share)
-	t := b.turns[it.ask.Team]
-	waits := t != nil && t.cost > 0
-	if waits {
-		share = t.share
-		own = t.queue.ahead(it)
-		b.size(t, -1)
-		defer b.size(t, 1)
+// costAhead estimates the cost that is served before a request: all, and own as
+// the part of the same team. It counts the team's requests with earlier
+// deadlines and, for every other team, its proportional share of that plus one
+// request by which it may overdraw. Teams are counted by size class rather than
+// one by one, so that the runtime does not grow with their number.
+func (b *band) costAhead(it *item) (all, own int64) {
+	share := int64(it.request.Share)
+	f := b.flows[it.request.Team]
+	waiting := f != nil && f.cost > 0
+	if waiting {
+		share = f.share
+		own = f.queue.costAhead(it)
+		b.countInSizeClass(f, -1)
+		defer b.countInSizeClass(f, 1)
 	}
-	// turns is how much each share is given until it is the ask's turn; a
-	// team that is in debt has first to pay.
+	// turns is the number of tokens that each unit of share receives before
+	// the request is served; an overdrawn team has to pay off its overdraft
+	// first.
 	turns := (own + it.cost + share - 1) / share
-	if t != nil {
-		turns += max(0, t.round-b.round) * quantum
+	if f != nil {
+		turns += max(0, f.round-b.round) * quantum
 	}
 	all = own
-	for _, s := range b.sizes {
+	for _, s := range b.sizeClasses {
 		if s.teams > 0 {
-			all += min(s.cost, turns*s.share+s.teams*b.longest)
+			all += min(s.cost, turns*s.share+s.teams*b.maxCost)
 		}
 	}
 	return all, own
--- a/entry/request/admitter/estimate.go
+++ b/entry/request/admitter/estimate.go
@@ -8,65 +8,66 @@
 	"time"
 )
 
-// slowdown is the part by which the pace must have fallen before waiting asks
-// are reckoned again; smaller changes are within the margin.
-const slowdown = 0.9
-
-// soonest is the shortest time after which coming back is worth a caller's
-// while.
-const soonest = 250 * time.Millisecond
-
-// latest is the longest time to come back that is named: where nothing moves,
-// the estimate says nothing, and the fleet may be up again in a minute.
-const latest = time.Minute
-
-// order gives the bands with asks, the one whose first ask ends earliest in
-// virtual time first. Short asks so go before long ones until they have had
-// their weight's worth of tokens.
-func (a *Admitter) order() []*band {
-	a.tries = a.tries[:0]
+// slowdownThreshold is the ratio to the previous rates below which the latest
+// starts of waiting requests are recomputed; smaller changes are covered by
+// Config.MarginFraction.
+const slowdownThreshold = 0.9
+
+// minRetryAfter is the shortest retry delay that is worthwhile for a caller.
+const minRetryAfter = 250 * time.Millisecond
+
+// maxRetryAfter limits the retry delay: when nothing makes progress the
+// estimate is meaningless, and the fleet may be up again within a minute.
+const maxRetryAfter = time.Minute
+
+// bandsByFinishTime returns the non-empty bands, ordered by the virtual time at
+// which the first request of each would finish. Short requests therefore go
+// before long ones until the short bands have used their weight in tokens.
+func (a *Admitter) bandsByFinishTime() []*band {
+	a.bandOrder = a.bandOrder[:0]
 	for _, b := range a.bands {
 		if len(b.heap) > 0 {
-			b.tag = b.finish(b.heap[0].queue.first().cost)
-			a.tries = append(a.tries, b)
+			b.finishTag = b.finishTime(b.heap[0].queue.first().cost)
+			a.bandOrder = append(a.bandOrder, b)
 		}
 	}
-	slices.SortStableFunc(a.tries, func(x, y *band) int { return cmp.Compare(x.tag, y.tag) })
-	return a.tries
+	slices.SortStableFunc(a.bandOrder, func(x, y *band) int { return cmp.Compare(x.finishTag, y.finishTag) })
+	return a.bandOrder
 }
 
-// start is the latest moment at which an ask can be placed and end in time.
-func (a *Admitter) start(k Request, p Capacity) time.Time {
-	if a.conf.Queue == First {
-		return k.Deadline
+// latestStart returns the latest time at which a request can be placed and
+// still finish in time.
+func (a *Admitter) latestStart(req Request, c Capacity) time.Time {
+	if a.config.Queue == FIFO {
+		return req.Deadline
 	}
-	limit := k.Deadline.Sub(k.Arrived)
-	return k.Deadline.Add(-a.service(k, p) - time.Duration(a.conf.Margin*float64(limit)))
+	limit := req.Deadline.Sub(req.Arrived)
+	return req.Deadline.Add(-a.serviceTime(req, c) - time.Duration(a.config.MarginFraction*float64(limit)))
 }
 
-// service is how long an ask takes with nothing ahead of it.
-func (a *Admitter) service(k Request, p Capacity) time.Duration {
-	return seconds(float64(k.PromptTokens)/p.alone() + a.conf.Length*float64(k.MaxOutput)/p.decode())
+// serviceTime returns how long a request takes with nothing ahead of it.
+func (a *Admitter) serviceTime(req Request, c Capacity) time.Duration {
+	return duration(float64(req.PromptTokens)/c.upstreamPrefillRate() + a.config.OutputFraction*float64(req.MaxOutput)/c.decodeRate())
 }
 
-// refuse says why an ask cannot be let in, or nil.
-func (a *Admitter) refuse(now time.Time, it *item, p Capacity) *Refusal {
-	if a.conf.Queue == First {
-		if a.Len() >= a.conf.Requests || a.total.tokens+it.ask.PromptTokens > a.conf.Tokens {
+// checkAdmission returns why a request cannot be admitted, or nil if it can.
+func (a *Admitter) checkAdmission(now time.Time, it *item, c Capacity) *Refusal {
+	if a.config.Queue == FIFO {
+		if a.Len() >= a.config.MaxRequests || a.total.promptTokens+it.request.PromptTokens > a.config.MaxTokens {
 			return &Refusal{Code: Saturated, RetryAfter: time.Second}
 		}
 		return nil
 	}
-	spare := time.Duration(a.conf.Wait * float64(it.start.Sub(now)))
+	spare := time.Duration(a.config.WaitFraction * float64(it.latestStart.Sub(now)))
 	if spare <= 0 {
 		return &Refusal{Code: Late}
 	}
-	all, own := it.band.ahead(it)
-	total := all + a.others(it, all+it.cost)
-	rate := a.rate(it, p)
-	placed := a.placed(p)
-	wait := placed + seconds(float64(total)/rate)
-	code := a.full(it)
+	all, own := it.band.costAhead(it)
+	total := all + a.costOfOtherBands(it, all+it.cost)
+	rate := a.serviceRate(it, c)
+	placed := a.placedDelay(c)
+	wait := placed + duration(float64(total)/rate)
+	code := a.checkLimits(it)
 	if code == "" && wait <= spare {
 		return nil
 	}
@@ -76,48 +77,50 @@
 			code = Share
 		}
 	}
-	// The honest hour is when what is ahead has gone. Asks that are refused
-	// together would come back together, so each has its own part of a
-	// quarter more.
-	spread := 1 + float64(it.ask.ID*0x9e3779b97f4a7c15>>56)/1024
-	return &Refusal{Code: code, RetryAfter: time.Duration(float64(min(max(wait, soonest), latest)) * spread)}
+	// A retry helps once the work ahead is done. Requests rejected at the same
+	// time would also retry at the same time, so each delay is extended by up to
+	// a quarter, depending on the ID.
+	spread := 1 + float64(it.request.ID*0x9e3779b97f4a7c15>>56)/1024
+	return &Refusal{Code: code, RetryAfter: time.Duration(float64(min(max(wait, minRetryAfter), maxRetryAfter)) * spread)}
 }
 
-// full says by which code an ask is refused for want of room. A team may hold
-// no more than what is free, so that the queue of one team that sends most of
-// the load leaves half of the room to the others.
-func (a *Admitter) full(it *item) string {
-	l := a.teams[it.ask.Team]
-	asks := a.conf.Requests - a.total.asks
-	tokens := a.conf.Tokens - a.total.tokens
+// checkLimits returns the refusal code if the request exceeds the limits of the
+// queue, or "". A team may hold no more than what is still free, so that a team
+// that sends most of the load leaves half of the queue to the others.
+func (a *Admitter) checkLimits(it *item) string {
+	l := a.teamLoads[it.request.Team]
+	requests := a.config.MaxRequests - a.total.requests
+	tokens := a.config.MaxTokens - a.total.promptTokens
 	switch {
-	case asks < 1 || tokens < it.ask.PromptTokens:
+	case requests < 1 || tokens < it.request.PromptTokens:
 		return Saturated
-	case l.asks > 0 && (l.asks >= asks || l.tokens+it.ask.PromptTokens > tokens):
+	case l.requests > 0 && (l.requests >= requests || l.promptTokens+it.request.PromptTokens > tokens):
 		return Share
 	}
 	return ""
 }
 
-// others is what the other bands are served while this one is served cost. A
-// band whose first ask would end later than this one goes after it, whatever it
-// has saved up. One that finds no place keeps its claim to the next one, but what it has not
-// been served so far is not work that goes before this ask: it waits for
-// something else, such as memory, and others go past it meanwhile.
-func (a *Admitter) others(it *item, cost int64) int64 {
+// costOfOtherBands returns the cost that the other bands are served while the
+// request's band is served the given cost. A band whose first request would
+// finish later than that goes after this request, however far it is behind in
+// virtual time. A blocked band keeps its claim to the next free place, but the
+// service it has missed so far does not count as work ahead of this request: it
+// waits for something else, such as memory, and other requests pass it in the
+// meantime.
+func (a *Admitter) costOfOtherBands(it *item, cost int64) int64 {
 	var sum int64
-	until := max(it.band.spent, a.clock)
-	if it.band.load.asks > 0 {
-		until = it.band.spent
+	until := max(it.band.virtualTime, a.virtualTime)
+	if it.band.load.requests > 0 {
+		until = it.band.virtualTime
 	}
 	begin := until
 	until += float64(cost) / it.band.weight
 	for _, b := range a.bands {
-		if b == it.band || len(b.heap) == 0 || b.finish(b.heap[0].queue.first().cost) > until {
+		if b == it.band || len(b.heap) == 0 || b.finishTime(b.heap[0].queue.first().cost) > until {
 			continue
 		}
-		from := b.spent
-		if b.stuck {
+		from := b.virtualTime
+		if b.blocked {
 			from = max(from, begin)
 		}
 		sum += min(b.load.cost, int64((until-from)*b.weight))
@@ -125,49 +128,52 @@
 	return sum
 }
 
-// placed is how long work that is already placed delays the next.
-func (a *Admitter) placed(p Capacity) time.Duration {
-	return seconds(p.PrefillLeft / p.prefill())
+// placedDelay returns how long requests already placed delay the next one.
+func (a *Admitter) placedDelay(c Capacity) time.Duration {
+	return duration(c.PrefillLeft / c.prefillRate())
 }
 
-// rate is the cost served per second, given the mix that waits: the prompts
-// are bound by prefill, the answers by slots, and the slower of the two counts.
-func (a *Admitter) rate(it *item, p Capacity) float64 {
+// serviceRate returns the cost served per second for the mix of waiting
+// requests: prompts are limited by the prefill rate and answers by the slots,
+// and the slower of the two determines the rate.
+func (a *Admitter) serviceRate(it *item, c Capacity) float64 {
 	l := it.band.load
-	l.add(it.ask, it.cost, 1)
-	read := float64(l.tokens) / p.prefill()
-	held := (float64(l.tokens)/p.alone() + a.conf.Length*float64(l.output)/p.decode()) / float64(max(1, p.Slots))
+	l.add(it.request, it.cost, 1)
+	read := float64(l.promptTokens) / c.prefillRate()
+	held := (float64(l.promptTokens)/c.upstreamPrefillRate() + a.config.OutputFraction*float64(l.maxOutput)/c.decodeRate()) / float64(max(1, c.Slots))
 	return float64(l.cost) / max(read, held, 1e-9)
 }
 
-// rebuild reckons again when each waiting ask must start, at a slower pace.
-func (a *Admitter) rebuild(p Capacity) {
-	a.pace = p
-	for _, it := range a.latest {
-		it.start = a.start(it.ask, p)
+// recomputeLatestStarts updates the latest start of every waiting request for a
+// lower capacity.
+func (a *Admitter) recomputeLatestStarts(c Capacity) {
+	a.capacity = c
+	for _, it := range a.byLatestStart {
+		it.latestStart = a.latestStart(it.request, c)
 	}
-	heap.Init(&a.latest)
+	heap.Init(&a.byLatestStart)
 }
 
-func slower(p, than Capacity) bool {
-	return p.alone() < slowdown*than.alone() || p.decode() < slowdown*than.decode()
+func isSlower(c, than Capacity) bool {
+	return c.upstreamPrefillRate() < slowdownThreshold*than.upstreamPrefillRate() || c.decodeRate() < slowdownThreshold*than.decodeRate()
 }
 
-// A pace of zero is that of a fleet that does nothing: all is late.
-func (p Capacity) prefill() float64 { return max(p.PrefillRate, 1e-3) }
+// prefillRate is never zero, so that with no capacity at all every request
+// counts as late.
+func (c Capacity) prefillRate() float64 { return max(c.PrefillRate, 1e-3) }
 
-func (p Capacity) decode() float64 { return max(p.DecodeRate, 1e-3) }
+func (c Capacity) decodeRate() float64 { return max(c.DecodeRate, 1e-3) }
 
-func (p Capacity) alone() float64 {
-	if p.UpstreamPrefillRate > 0 {
-		return p.UpstreamPrefillRate
+func (c Capacity) upstreamPrefillRate() float64 {
+	if c.UpstreamPrefillRate > 0 {
+		return c.UpstreamPrefillRate
 	}
-	return p.prefill()
+	return c.prefillRate()
 }
 
-// longest bounds estimates, so that no sum of times overflows.
-const longest = 1000 * time.Hour
+// maxEstimate limits estimated durations, so that sums cannot overflow.
+const maxEstimate = 1000 * time.Hour
 
-func seconds(s float64) time.Duration {
-	return time.Duration(math.Min(s*float64(time.Second), float64(longest)))
+func duration(s float64) time.Duration {
+	return time.Duration(math.Min(s*float64(time.Second), float64(maxEstimate)))
 }
--- a/entry/request/admitter/first.go
+++ b/entry/request/admitter/first.go
@@ -1,16 +1,17 @@
 package admitter
 
-// nextFirst is Next of the baseline: only the head of the one queue is tried.
-func (a *Admitter) nextFirst(place func(Request) bool) (Request, bool) {
-	for len(a.line) > 0 {
-		it, ok := a.items[a.line[0]]
-		if ok && !place(it.ask) {
+// nextFIFO implements Next for the FIFO baseline, which tries only the head of
+// its single queue.
+func (a *Admitter) nextFIFO(place func(Request) bool) (Request, bool) {
+	for len(a.fifo) > 0 {
+		it, ok := a.items[a.fifo[0]]
+		if ok && !place(it.request) {
 			return Request{}, false
 		}
-		a.line = a.line[1:]
+		a.fifo = a.fifo[1:]
 		if ok {
 			a.delete(it)
-			return it.ask, true
+			return it.request, true
 		}
 	}
 	return Request{}, false
--- a/entry/request/admitter/property_test.go
+++ b/entry/request/admitter/property_test.go
@@ -13,11 +13,11 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// pace reads a thousand tokens a second.
-var pace = admitter.Capacity{Slots: 1000, PrefillRate: 1000, DecodeRate: 1000}
+// capacity reads 1,000 tokens per second.
+var capacity = admitter.Capacity{Slots: 1000, PrefillRate: 1000, DecodeRate: 1000}
 
-// A machine offers, places, removes and expires at random, and knows what
-// must wait.
+// machine offers, places, removes and expires requests at random, and tracks
+// which ones must be waiting.
 type machine struct {
 	adm     *admitter.Admitter
 	now     time.Time
@@ -40,15 +40,16 @@
 		Arrived:      m.now,
 	}
 	a.Deadline = m.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "limit")) * time.Second)
-	if m.adm.Offer(m.now, a, pace) == nil {
+	if m.adm.Offer(m.now, a, capacity) == nil {
 		m.waiting[a.ID] = a
 	}
 }
 
-// leave checks that an ask that comes out was there, once.
-func (m *machine) leave(t *rapid.T, a admitter.Request) {
+// checkRemoved checks that a removed request was waiting, and removes it from
+// the expected state.
+func (m *machine) checkRemoved(t *rapid.T, a admitter.Request) {
 	if _, ok := m.waiting[a.ID]; !ok {
-		t.Fatalf("ask %d came out and did not wait", a.ID)
+		t.Fatalf("request %d returned but was not waiting", a.ID)
 	}
 	delete(m.waiting, a.ID)
 }
@@ -61,57 +62,57 @@
 		return a.PromptTokens <= most
 	})
 	if calls > 8 {
-		t.Fatalf("%d calls of place", calls)
+		t.Fatalf("%d calls of place in one Next", calls)
 	}
 	if !ok {
 		return
 	}
 	if a.PromptTokens > most {
-		t.Fatalf("ask of %d tokens placed where %d fit", a.PromptTokens, most)
+		t.Fatalf("request of %d tokens placed where at most %d are accepted", a.PromptTokens, most)
 	}
 	if !m.now.Before(a.Deadline) {
-		t.Fatalf("ask placed after its deadline")
+		t.Fatalf("request placed after its deadline")
 	}
 	for _, o := range m.waiting {
 		if o.Team == a.Team && o.PromptTokens == a.PromptTokens && o.Deadline.Before(a.Deadline) && m.now.Before(o.Deadline.Add(-time.Hour)) {
-			t.Fatalf("ask %d passed %d of its team, which is due earlier", a.ID, o.ID)
+			t.Fatalf("request %d placed before %d of its team, which has an earlier deadline", a.ID, o.ID)
 		}
 	}
-	m.leave(t, a)
+	m.checkRemoved(t, a)
 }
 
 func (m *machine) expire(t *rapid.T) {
-	for _, a := range m.adm.Expire(m.now, pace) {
-		m.leave(t, a)
+	for _, a := range m.adm.Expire(m.now, capacity) {
+		m.checkRemoved(t, a)
 	}
 }
 
 func (m *machine) remove(t *rapid.T) {
 	id := uint64(rapid.IntRange(0, int(m.id)+1).Draw(t, "id"))
 	if m.adm.Remove(id) {
-		m.leave(t, m.waiting[id])
+		m.checkRemoved(t, m.waiting[id])
 		return
 	}
-	// One that Next has found too late waits for Expire alone.
+	// A request that Next found too late is returned only by Expire.
 	m.expire(t)
 	if _, ok := m.waiting[id]; ok {
-		t.Fatalf("ask %d waits and could not be removed", id)
+		t.Fatalf("request %d is waiting but could not be removed", id)
 	}
 }
 
-// drain checks that nothing was lost: all that can be done in time comes out
-// of Next where everything finds a place, and the rest out of Expire.
+// drain checks that no request is lost: with place accepting everything, Next
+// returns every request that can finish in time and Expire the rest.
 func (m *machine) drain(t *rapid.T) {
 	for {
 		a, ok := m.adm.Next(m.now, func(admitter.Request) bool { return true })
 		if !ok {
 			break
 		}
-		m.leave(t, a)
+		m.checkRemoved(t, a)
 	}
 	m.expire(t)
 	if len(m.waiting) != 0 || m.adm.Len() != 0 || m.adm.Tokens() != 0 {
-		t.Fatalf("%d asks lost; Len %d, Tokens %d", len(m.waiting), m.adm.Len(), m.adm.Tokens())
+		t.Fatalf("%d requests lost; Len %d, Tokens %d", len(m.waiting), m.adm.Len(), m.adm.Tokens())
 	}
 }
 
@@ -120,14 +121,14 @@
 	for _, a := range m.waiting {
 		tokens += a.PromptTokens
 	}
-	// Asks that Next found too late are out of the queue until Expire hands
-	// them out.
+	// Requests that Next found too late have left the queue before Expire
+	// returns them.
 	if m.adm.Len() > len(m.waiting) || m.adm.Tokens() > tokens {
-		t.Fatalf("Len %d, Tokens %d; %d and %d wait", m.adm.Len(), m.adm.Tokens(), len(m.waiting), tokens)
+		t.Fatalf("Len %d, Tokens %d; at most %d and %d expected", m.adm.Len(), m.adm.Tokens(), len(m.waiting), tokens)
 	}
 }
 
-func TestNoneLostOrDoubled(t *testing.T) {
+func TestNoRequestLostOrDuplicated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
 		t.Repeat(map[string]func(*rapid.T){
@@ -143,9 +144,9 @@
 	})
 }
 
-// An ask that is let in is placed in time if the upstreams keep their pace and
-// nothing is let in after it, whatever waits before it.
-func TestEstimate(t *testing.T) {
+// An admitted request is placed in time, whatever waits ahead of it, if the
+// upstreams keep their rates and nothing is admitted after it.
+func TestAdmittedRequestIsPlacedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
 		for range rapid.IntRange(0, 60).Draw(t, "asks") {
@@ -158,31 +159,31 @@
 		last := m.waiting[m.id]
 		for m.adm.Len() > 0 {
 			m.serve(t)
-			for _, a := range m.adm.Expire(m.now, pace) {
+			for _, a := range m.adm.Expire(m.now, capacity) {
 				if a.ID == last.ID {
-					t.Fatalf("given up after being let in: %+v", a)
+					t.Fatalf("expired after admission: %+v", a)
 				}
-				m.leave(t, a)
+				m.checkRemoved(t, a)
 			}
 		}
 	})
 }
 
-// serve places one ask on an upstream that reads one prompt after another.
+// serve places one request on an upstream that reads prompts one at a time.
 func (m *machine) serve(t *rapid.T) {
 	a, ok := m.adm.Next(m.now, func(admitter.Request) bool { return true })
 	if !ok {
 		return
 	}
-	m.leave(t, a)
-	m.now = m.now.Add(time.Duration(float64(a.PromptTokens) / pace.PrefillRate * float64(time.Second)))
+	m.checkRemoved(t, a)
+	m.now = m.now.Add(time.Duration(float64(a.PromptTokens) / capacity.PrefillRate * float64(time.Second)))
 }
 
-// Two teams that always have something waiting get tokens in the ratio of
-// their shares, but for one longest ask of each.
-func TestShares(t *testing.T) {
+// Two teams that always have requests waiting are served tokens in the ratio of
+// their shares, to within the longest request of each.
+func TestTeamsServedByShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		adm := admitter.New(admitter.Config{Answer: 1})
+		adm := admitter.New(admitter.Config{OutputTokenCost: 1})
 		shares := map[string]int{"a": 1, "b": rapid.IntRange(1, 5).Draw(t, "share")}
 		served := map[string]float64{}
 		longest := 0.0
@@ -192,7 +193,7 @@
 			a := admitter.Request{ID: id, Team: team, Share: shares[team], PromptTokens: rapid.IntRange(1, 16_000).Draw(t, "tokens")}
 			a.Arrived, a.Deadline = epoch, epoch.Add(1000*time.Hour)
 			longest = max(longest, float64(a.PromptTokens))
-			assert.Assert(t, adm.Offer(epoch, a, pace) == nil)
+			assert.Assert(t, adm.Offer(epoch, a, capacity) == nil)
 		}
 		for range 3 {
 			offer("a")
@@ -202,8 +203,8 @@
 			a, _ := adm.Next(epoch, func(admitter.Request) bool { return true })
 			served[a.Team] += float64(a.PromptTokens) / float64(shares[a.Team])
 			offer(a.Team)
-			// A round gives 256 tokens a share; being paid up is known to the
-			// round, and so to within one.
+			// A round gives 256 tokens per share, and overdrafts are tracked in whole
+			// rounds, which adds an error of up to one round.
 			bound := longest + longest/float64(shares["b"]) + 2*256*100
 			if gap := served["a"] - served["b"]; gap > bound || gap < -bound {
 				t.Fatalf("served %v, bound %.0f", served, bound)
--- a/entry/request/admitter/queue.go
+++ b/entry/request/admitter/queue.go
@@ -1,13 +1,14 @@
 package admitter
 
-// A queue holds one team's waiting asks of one band by deadline. It is a treap
-// that sums costs, because an estimate needs the cost ahead of a deadline, and
-// a plain heap could give it only by reading everything.
+// queue holds the waiting requests of one team in one band, ordered by deadline.
+// It is a treap with the sum of costs per subtree, because estimates need the
+// total cost ahead of a deadline, which a plain heap could compute only by a
+// full scan.
 type queue struct {
 	root *item
 }
 
-// first gives the earliest deadline, or nil.
+// first returns the item with the earliest deadline, or nil.
 func (q *queue) first() *item {
 	it := q.root
 	for it != nil && it.left != nil {
@@ -16,12 +17,12 @@
 	return it
 }
 
-// ahead sums the costs of what goes before an ask.
-func (q *queue) ahead(of *item) int64 {
+// costAhead returns the total cost of the items that go before the given one.
+func (q *queue) costAhead(of *item) int64 {
 	var sum int64
 	for it := q.root; it != nil; {
 		if earlier(it, of) {
-			sum += it.cost + total(it.left)
+			sum += it.cost + subtreeCost(it.left)
 			it = it.right
 		} else {
 			it = it.left
@@ -31,10 +32,10 @@
 }
 
 func (q *queue) insert(it *item) {
-	// A multiplicative hash of the identifier serves as the random rank.
-	it.rank = (it.ask.ID + 1) * 0x9e3779b97f4a7c15
-	it.rank ^= it.rank >> 29
-	it.rank *= 0xbf58476d1ce4e5b9
+	// A multiplicative hash of the ID serves as the random treap priority.
+	it.priority = (it.request.ID + 1) * 0x9e3779b97f4a7c15
+	it.priority ^= it.priority >> 29
+	it.priority *= 0xbf58476d1ce4e5b9
 	it.left, it.right = nil, nil
 	q.root = insert(q.root, it)
 }
@@ -49,7 +50,7 @@
 		it.update()
 		return it
 	}
-	if it.rank > at.rank {
+	if it.priority > at.priority {
 		it.left, it.right = split(at, it)
 		it.update()
 		return it
@@ -79,7 +80,7 @@
 	return at
 }
 
-// split cuts a tree into what goes before the key and the rest.
+// split divides a tree into the items that go before key and the rest.
 func split(at, key *item) (left, right *item) {
 	if at == nil {
 		return nil, nil
@@ -101,7 +102,7 @@
 		return right
 	case right == nil:
 		return left
-	case left.rank > right.rank:
+	case left.priority > right.priority:
 		left.right = merge(left.right, right)
 		left.update()
 		return left
@@ -113,19 +114,19 @@
 }
 
 func (it *item) update() {
-	it.sum = it.cost + total(it.left) + total(it.right)
+	it.subtreeCost = it.cost + subtreeCost(it.left) + subtreeCost(it.right)
 }
 
-func total(it *item) int64 {
+func subtreeCost(it *item) int64 {
 	if it == nil {
 		return 0
 	}
-	return it.sum
+	return it.subtreeCost
 }
 
 func earlier(i, j *item) bool {
-	if !i.ask.Deadline.Equal(j.ask.Deadline) {
-		return i.ask.Deadline.Before(j.ask.Deadline)
+	if !i.request.Deadline.Equal(j.request.Deadline) {
+		return i.request.Deadline.Before(j.request.Deadline)
 	}
-	return i.ask.ID < j.ask.ID
+	return i.request.ID < j.request.ID
 }
