--- a/entry/request/router/baseline.go
+++ b/entry/request/router/baseline.go
@@ -7,20 +7,22 @@
 	"github.com/heathervane/heathervane/entry/request/admitter"
 )
 
-// The baselines know slots and memory, as any sender must, and nothing else.
+// The baseline policies consider only slots and memory, which every sender has to
+// respect.
 
-type random struct{ rand *rand.Rand }
+type randomPicker struct{ rand *rand.Rand }
 
-// Pick takes any candidate that has room, each with the same chance.
-func (p *random) Pick(_ time.Time, a admitter.Request, cs []Candidate) (int, bool) {
-	return anyOf(p.rand, &a, cs)
+// Pick chooses uniformly among the candidates with capacity.
+func (p *randomPicker) Pick(_ time.Time, req admitter.Request, cs []Candidate) (int, bool) {
+	return pickRandom(p.rand, &req, cs)
 }
 
-// anyOf chooses one of those with room, in one pass and without memory.
-func anyOf(r *rand.Rand, a *admitter.Request, cs []Candidate) (int, bool) {
+// pickRandom chooses a random candidate with capacity in one pass, without
+// allocating.
+func pickRandom(r *rand.Rand, req *admitter.Request, cs []Candidate) (int, bool) {
 	index, seen := 0, 0
 	for i := range cs {
-		if !cs[i].takes(a) {
+		if !cs[i].hasCapacity(req) {
 			continue
 		}
 		seen++
@@ -31,20 +33,20 @@
 	return index, seen > 0
 }
 
-type least struct{ rand *rand.Rand }
+type leastRequestsPicker struct{ rand *rand.Rand }
 
-// Pick takes the candidate with the fewest requests in progress, ties at
-// random.
-func (p *least) Pick(_ time.Time, a admitter.Request, cs []Candidate) (int, bool) {
+// Pick chooses the candidate with the fewest requests in progress, breaking ties
+// at random.
+func (p *leastRequestsPicker) Pick(_ time.Time, req admitter.Request, cs []Candidate) (int, bool) {
 	index, seen := -1, 0
 	for i := range cs {
-		if !cs[i].takes(&a) {
+		if !cs[i].hasCapacity(&req) {
 			continue
 		}
 		switch {
-		case index < 0 || cs[i].progress() < cs[index].progress():
+		case index < 0 || cs[i].inProgress() < cs[index].inProgress():
 			index, seen = i, 1
-		case cs[i].progress() == cs[index].progress():
+		case cs[i].inProgress() == cs[index].inProgress():
 			seen++
 			if p.rand.IntN(seen) == 0 {
 				index = i
@@ -54,16 +56,17 @@
 	return max(index, 0), index >= 0
 }
 
-type two struct{ rand *rand.Rand }
+type twoChoicesPicker struct{ rand *rand.Rand }
 
-// Pick takes of two candidates the one with fewer requests in progress.
-func (p *two) Pick(_ time.Time, a admitter.Request, cs []Candidate) (int, bool) {
-	i, ok := anyOf(p.rand, &a, cs)
+// Pick chooses, of two random candidates, the one with fewer requests in
+// progress.
+func (p *twoChoicesPicker) Pick(_ time.Time, req admitter.Request, cs []Candidate) (int, bool) {
+	i, ok := pickRandom(p.rand, &req, cs)
 	if !ok {
 		return 0, false
 	}
-	j, _ := anyOf(p.rand, &a, cs)
-	if cs[j].progress() < cs[i].progress() {
+	j, _ := pickRandom(p.rand, &req, cs)
+	if cs[j].inProgress() < cs[i].inProgress() {
 		i = j
 	}
 	return i, true
--- a/entry/request/router/fleet_test.go
+++ b/entry/request/router/fleet_test.go
@@ -14,18 +14,18 @@
 	"github.com/heathervane/heathervane/entry/request/router"
 )
 
-// This file plays the decisions against a few engines and VMs in simulated
-// time: engines read prompts one after another and decode all streams at one
-// rate, reports lag, and each VM has a fixed part of each engine's slots.
+// This file simulates a few engines and VMs in virtual time: engines read prompts
+// one after another and decode all streams at one rate, reports are delayed, and
+// each VM has a fixed part of the slots of each engine.
 
 const (
-	prefill = 20_000.0 // prompt tokens per second of one engine
-	decode  = 50.0     // answer tokens per second of one stream
-	slots   = 64
-	memory  = 1_500_000
-	lag     = 250 * time.Millisecond // of reports
-	tick    = 50 * time.Millisecond
-	hop     = time.Millisecond
+	prefill      = 20_000.0 // prompt tokens per second of one engine
+	decode       = 50.0     // answer tokens per second of one stream
+	slots        = 64
+	memory       = 1_500_000
+	reportDelay  = 250 * time.Millisecond
+	tick         = 50 * time.Millisecond
+	networkDelay = time.Millisecond
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -43,7 +43,7 @@
 	return h[i].at < h[j].at || (h[i].at == h[j].at && h[i].seq < h[j].seq)
 }
 func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *events) Push(x any)   { *h = append(*h, x.(event)) } //nolint:forcetypeassert // only events
+func (h *events) Push(x any)   { *h = append(*h, x.(event)) } //nolint:forcetypeassert // only events are pushed
 func (h *events) Pop() any {
 	old := *h
 	e := old[len(old)-1]
@@ -51,93 +51,93 @@
 	return e
 }
 
-// A call is one request and what became of it.
+// call is one request and its result.
 type call struct {
-	ask     admitter.Request
-	at      time.Duration
-	first   time.Duration // first token; 0 if none came
-	end     time.Duration // whole answer
-	refused *admitter.Refusal
-	refusal time.Duration
-	engine  int
-	sent    time.Duration
-	backlog float64
-	placed  bool
-	vm      *vm
-	again   uint64 // the call that was refused before
+	request       admitter.Request
+	at            time.Duration
+	first         time.Duration // first token; 0 if none came
+	end           time.Duration // whole answer
+	refused       *admitter.Refusal
+	refusal       time.Duration
+	engine        int
+	sent          time.Duration
+	placedBacklog float64
+	placed        bool
+	vm            *vm
+	retryOf       uint64 // ID of the rejected call that this one retries
 }
 
 type vm struct {
-	name  string
-	adm   *admitter.Admitter
-	pick  router.Picker
-	gauge *gauger.Gauger
-	mine  []mine // by engine
-	cands []router.Candidate
+	name     string
+	adm      *admitter.Admitter
+	pick     router.Picker
+	gauge    *gauger.Gauger
+	byEngine []engineCalls
+	cands    []router.Candidate
 }
 
-// mine is what a VM has on one engine.
-type mine struct {
+// engineCalls is what a VM has in progress on one engine.
+type engineCalls struct {
 	calls  []*call
 	unread int
-	recent []*call // sent, and perhaps not in a report yet
+	recent []*call // sent, and possibly not reported yet
 }
 
-type play struct {
-	policy  string
-	queue   string
-	engines int
-	vms     int
-	long    int // engines set apart; -1: as many as a Splitter says
-	span    time.Duration
-	seed    uint64
-	loads   []load
-	change  map[time.Duration]func(*fleet)
-	back    bool // refused calls come back
-	conf    admitter.Config
+type simulation struct {
+	policy   string
+	queue    string
+	engines  int
+	vms      int
+	reserved int // reserved engines; -1: chosen by a Splitter
+	span     time.Duration
+	seed     uint64
+	loads    []load
+	change   map[time.Duration]func(*fleet)
+	retry    bool // rejected calls are retried once
+	conf     admitter.Config
 }
 
-// A load is an open loop of arrivals.
+// load is an open-loop arrival process.
 type load struct {
-	team        string
-	share       int
-	rate        float64 // requests per second
-	least, most int     // prompt tokens, log-uniform
-	output      int     // at most; uniform from a quarter of it
-	limit       time.Duration
-	from, to    time.Duration // 0: the whole play
+	team                 string
+	share                int
+	rate                 float64 // requests per second
+	minTokens, maxTokens int     // prompt tokens, log-uniform
+	output               int     // upper limit; uniform from a quarter of it
+	limit                time.Duration
+	from, to             time.Duration // 0: the whole simulation
 }
 
-// tokens is the mean length of its prompts.
+// tokens returns the mean prompt length.
 func (l load) tokens() float64 {
-	return float64(l.most-l.least) / math.Log(float64(l.most)/float64(l.least))
+	return float64(l.maxTokens-l.minTokens) / math.Log(float64(l.maxTokens)/float64(l.minTokens))
 }
 
 type fleet struct {
-	play
-	long    int // engines set apart now
-	now     time.Duration
-	seq     int
-	events  events
-	rand    *rand.Rand
-	engs    []*engine
-	vms     []*vm
-	calls   []*call
-	pending map[uint64]*call
-	names   []string          // of the VMs
-	homes   map[string]string // VMs by engine
-	guests  []string          // by engine, as of turn
-	turn    int64
-	split   *splitter.Splitter
-	offered [2]int // short and long tokens since the last tick
-	moves   int    // changes of the engines set apart
+	simulation
+	reserved    int // engines currently reserved for long prompts
+	now         time.Duration
+	seq         int
+	events      events
+	rand        *rand.Rand
+	engs        []*engine
+	vms         []*vm
+	calls       []*call
+	pending     map[uint64]*call
+	names       []string          // of the VMs
+	primaries   map[string]string // VMs by engine
+	secondaries []string          // VMs by engine index, as of term
+	term        int64
+	split       *splitter.Splitter
+	offered     [2]int // short and long prompt tokens since the last tick
+	resplits    int    // changes of the number of reserved engines
 }
 
-func run(p play) *fleet {
-	f := &fleet{play: p, rand: rand.New(rand.NewPCG(p.seed, 1)), pending: map[uint64]*call{}}
+func run(p simulation) *fleet {
+	f := &fleet{simulation: p, rand: rand.New(rand.NewPCG(p.seed, 1)), pending: map[uint64]*call{}}
 	var names []string
 	for i := range p.engines {
-		f.engs = append(f.engs, &engine{name: fmt.Sprintf("e%02d", i), slower: 1})
+		f.engs = append(f.engs, &engine{name: fmt.Sprintf("e%02d", i), slowdown: 1})
 		names = append(names, f.engs[i].name)
 	}
 	for i := range p.vms {
@@ -148,15 +148,15 @@
 		conf := p.conf
 		conf.Queue = p.queue
 		v := &vm{name: fmt.Sprint("v", i), adm: admitter.New(conf), pick: picker, gauge: gauger.New()}
-		v.mine = make([]mine, len(names))
+		v.byEngine = make([]engineCalls, len(names))
 		f.vms = append(f.vms, v)
 		f.names = append(f.names, v.name)
 	}
-	f.guests = make([]string, len(names))
+	f.secondaries = make([]string, len(names))
 	f.split = splitter.New(splitter.Config{})
-	f.apart(max(0, p.long))
-	if p.long < 0 {
-		f.settle()
+	f.reserve(max(0, p.reserved))
+	if p.reserved < 0 {
+		f.warmUpSplitter()
 	}
 	for i, l := range p.loads {
 		f.arrivals(l, rand.New(rand.NewPCG(p.seed, uint64(i)+100)))
@@ -166,7 +166,7 @@
 	}
 	f.at(0, f.tick)
 	for len(f.events) > 0 {
-		e := heap.Pop(&f.events).(event) //nolint:forcetypeassert // only events
+		e := heap.Pop(&f.events).(event) //nolint:forcetypeassert // only events are pushed
 		f.now = e.at
 		e.run()
 	}
@@ -193,9 +193,9 @@
 		}
 		c := &call{at: t}
 		v := f.vms[r.IntN(len(f.vms))]
-		c.ask = admitter.Request{
+		c.request = admitter.Request{
 			ID: uint64(len(f.calls) + 1), Team: l.team, Share: max(1, l.share),
-			PromptTokens: int(float64(l.least) * math.Pow(float64(l.most)/float64(l.least), r.Float64())),
+			PromptTokens: int(float64(l.minTokens) * math.Pow(float64(l.maxTokens)/float64(l.minTokens), r.Float64())),
 			MaxOutput:    l.output/4 + r.IntN(l.output*3/4+1),
 			Arrived:      epoch.Add(t), Deadline: epoch.Add(t + l.limit),
 		}
@@ -205,28 +205,28 @@
 }
 
 func (f *fleet) offer(v *vm, c *call) {
-	if c.ask.PromptTokens > 64<<10 {
-		f.offered[1] += c.ask.PromptTokens
+	if c.request.PromptTokens > 64<<10 {
+		f.offered[1] += c.request.PromptTokens
 	} else {
-		f.offered[0] += c.ask.PromptTokens
+		f.offered[0] += c.request.PromptTokens
 	}
-	if r := v.adm.Offer(f.clock(), c.ask, router.EstimateCapacity(f.candidates(v), c.ask.PromptTokens)); r != nil {
+	if r := v.adm.Offer(f.clock(), c.request, router.EstimateCapacity(f.candidates(v), c.request.PromptTokens)); r != nil {
 		c.refused, c.refusal = r, f.now
-		if f.back && r.RetryAfter > 0 && c.again == 0 {
-			f.comeBack(v, c)
+		if f.retry && r.RetryAfter > 0 && c.retryOf == 0 {
+			f.retryLater(v, c)
 		}
 		return
 	}
-	f.pending[c.ask.ID] = c
+	f.pending[c.request.ID] = c
 	f.dispatch(v)
 }
 
-// comeBack offers a refused call once more, when it was told to come back.
-func (f *fleet) comeBack(v *vm, c *call) {
-	again := &call{at: f.now + c.refused.RetryAfter, again: c.ask.ID, ask: c.ask}
-	again.ask.ID = uint64(len(f.calls) + 1)
-	again.ask.Arrived = c.ask.Arrived.Add(c.refused.RetryAfter)
-	again.ask.Deadline = c.ask.Deadline.Add(c.refused.RetryAfter)
+// retryLater offers a rejected call once more after its retry delay.
+func (f *fleet) retryLater(v *vm, c *call) {
+	again := &call{at: f.now + c.refused.RetryAfter, retryOf: c.request.ID, request: c.request}
+	again.request.ID = uint64(len(f.calls) + 1)
+	again.request.Arrived = c.request.Arrived.Add(c.refused.RetryAfter)
+	again.request.Deadline = c.request.Deadline.Add(c.refused.RetryAfter)
 	f.calls = append(f.calls, again)
 	f.at(again.at, func() { f.offer(v, again) })
 }
@@ -249,77 +249,77 @@
 		}
 		c := f.pending[a.ID]
 		if c.placed {
-			panic("an ask was given twice")
+			panic("request placed twice")
 		}
 		c.placed, c.engine, c.sent = true, index, f.now
 		k := &cands[index]
-		c.backlog = max(0, float64(k.PrefillLeft)-prefill*k.ReportAge.Seconds()) + float64(k.UnreportedTokens+a.PromptTokens)
+		c.placedBacklog = max(0, float64(k.PrefillLeft)-prefill*k.ReportAge.Seconds()) + float64(k.UnreportedTokens+a.PromptTokens)
 		k.FreeSlots--
 		k.OwnStreams++
 		k.UnreportedRequests++
 		k.UnreportedTokens += a.PromptTokens
 		k.OwnPrefillLeft += a.PromptTokens
-		m := &v.mine[index]
+		m := &v.byEngine[index]
 		m.calls = append(m.calls, c)
 		m.recent = append(m.recent, c)
 		m.unread += a.PromptTokens
 		c.vm = v
-		f.at(f.now+hop, func() { f.arrive(f.engs[index], c) })
+		f.at(f.now+networkDelay, func() { f.arrive(f.engs[index], c) })
 	}
 }
 
 func (f *fleet) candidates(v *vm) []router.Candidate {
 	v.cands = v.cands[:0]
 	for i, e := range f.engs {
-		r := e.seen(f.now)
-		m := &v.mine[i]
+		r := e.lastReport(f.now)
+		m := &v.byEngine[i]
 		k := router.Candidate{
-			Name: e.name, SameZone: true, FreeSlots: slots/f.play.vms - len(m.calls), Slots: slots, OwnStreams: len(m.calls), OwnPrefillLeft: m.unread,
+			Name: e.name, SameZone: true, FreeSlots: slots/f.simulation.vms - len(m.calls), Slots: slots, OwnStreams: len(m.calls), OwnPrefillLeft: m.unread,
 			Running: r.running, Waiting: r.waiting, KVUsed: r.used, KVCapacity: memory, PrefillLeft: int(r.left),
-			ReportAge: f.now - r.at, PrefillRate: prefill, DecodeRate: decode, SpeedRatio: v.gauge.Speed(f.clock(), e.name), LongOnly: i < f.long,
+			ReportAge: f.now - r.at, PrefillRate: prefill, DecodeRate: decode, SpeedRatio: v.gauge.Speed(f.clock(), e.name), LongOnly: i < f.reserved,
 		}
-		k.Primary = f.homes[e.name] == v.name
-		k.Secondary = f.guest(i) == v.name
-		for len(m.recent) > 0 && m.recent[0].sent < r.at-hop {
+		k.Primary = f.primaries[e.name] == v.name
+		k.Secondary = f.secondary(i) == v.name
+		for len(m.recent) > 0 && m.recent[0].sent < r.at-networkDelay {
 			m.recent = m.recent[1:]
 		}
 		for _, c := range m.recent {
 			k.UnreportedRequests++
-			k.UnreportedTokens += c.ask.PromptTokens
+			k.UnreportedTokens += c.request.PromptTokens
 		}
 		v.cands = append(v.cands, k)
 	}
 	return v.cands
 }
 
-// apart sets engines apart for long prompts.
-func (f *fleet) apart(n int) {
+// reserve reserves n engines for long prompts.
+func (f *fleet) reserve(n int) {
 	var names []string
 	for _, e := range f.engs {
 		names = append(names, e.name)
 	}
-	f.long, f.turn = n, -1
-	f.homes = router.AssignPrimaries(f.names, names[:n])
-	maps.Copy(f.homes, router.AssignPrimaries(f.names, names[n:]))
+	f.reserved, f.term = n, -1
+	f.primaries = router.AssignPrimaries(f.names, names[:n])
+	maps.Copy(f.primaries, router.AssignPrimaries(f.names, names[n:]))
 }
 
-// settle lets the splitter see ten minutes of the mean load, as in a fleet that
-// has been up for a while.
-func (f *fleet) settle() {
+// warmUpSplitter feeds the splitter ten minutes of the mean load, as in a fleet
+// that has been up for a while.
+func (f *fleet) warmUpSplitter() {
 	l := splitter.Load{Engines: len(f.engs)}
 	for _, o := range f.loads {
-		if o.least >= 100_000 {
+		if o.minTokens >= 100_000 {
 			l.LongTokens += o.rate * o.tokens()
 		} else {
 			l.ShortTokens += o.rate * o.tokens()
 		}
 	}
 	for t := -10 * time.Minute; t < 0; t += time.Second {
-		f.apart(f.split.Step(epoch.Add(t), l))
+		f.reserve(f.split.Step(epoch.Add(t), l))
 	}
 }
 
-// resplit follows the load with the number of engines set apart.
+// resplit adapts the number of reserved engines to the load.
 func (f *fleet) resplit() {
 	n := f.split.Step(f.clock(), splitter.Load{
 		ShortTokens: float64(f.offered[0]) / tick.Seconds(),
@@ -327,38 +327,38 @@
 		Engines:     len(f.engs),
 	})
 	f.offered = [2]int{}
-	if n != f.long {
-		f.apart(n)
-		f.moves++
+	if n != f.reserved {
+		f.reserve(n)
+		f.resplits++
 	}
 }
 
-// guest gives the engine's guest VM, reckoned once a turn.
-func (f *fleet) guest(i int) string {
-	if turn := int64(f.now / router.SecondaryTerm); turn != f.turn {
-		f.turn = turn
+// secondary returns the engine's secondary VM, computed once per term.
+func (f *fleet) secondary(i int) string {
+	if term := int64(f.now / router.SecondaryTerm); term != f.term {
+		f.term = term
 		for i, e := range f.engs {
-			f.guests[i] = router.SecondaryAt(f.clock(), f.names, e.name, f.homes[e.name])
+			f.secondaries[i] = router.SecondaryAt(f.clock(), f.names, e.name, f.primaries[e.name])
 		}
 	}
-	return f.guests[i]
+	return f.secondaries[i]
 }
 
-// tick makes reports, gauges and dispatches.
+// tick produces reports, updates gauges and dispatches requests.
 func (f *fleet) tick() {
-	if f.play.long < 0 {
+	if f.simulation.reserved < 0 {
 		f.resplit()
 	}
 	for _, e := range f.engs {
 		e.advance(f.now)
 		r := report{at: f.now, running: e.running, waiting: len(e.queue), used: e.used, left: e.left}
 		for _, c := range e.unread[min(1, len(e.unread)):] {
-			r.left += float64(c.ask.PromptTokens)
+			r.left += float64(c.request.PromptTokens)
 		}
 		e.reports = append(e.reports, r)
 	}
 	for _, v := range f.vms {
-		f.measure(v)
+		f.updateGauges(v)
 		f.dispatch(v)
 	}
 	if f.now < f.span+10*time.Minute && (f.now < f.span || len(f.events) > 0) {
@@ -366,13 +366,13 @@
 	}
 }
 
-func (f *fleet) measure(v *vm) {
+func (f *fleet) updateGauges(v *vm) {
 	for i, e := range f.engs {
-		for _, c := range v.mine[i].calls {
+		for _, c := range v.byEngine[i].calls {
 			if c.first == 0 || c.first > f.now {
-				v.gauge.Waiting(f.clock(), e.name, int(c.backlog), f.now-c.sent, prefill)
+				v.gauge.Waiting(f.clock(), e.name, int(c.placedBacklog), f.now-c.sent, prefill)
 			} else if f.now-c.first >= tick {
-				got := tick.Seconds() * decode / e.slower
+				got := tick.Seconds() * decode / e.slowdown
 				v.gauge.Observe(f.clock(), e.name, 1, time.Duration(float64(tick)/got), decode)
 			}
 		}
--- a/entry/request/router/pace.go
+++ b/entry/request/router/pace.go
@@ -2,34 +2,35 @@
 
 import "github.com/heathervane/heathervane/entry/request/admitter"
 
-// EstimateCapacity gives what a prompt of that many tokens may expect of the candidates. It
-// counts only those of its kind where some are set apart, and for a short prompt
-// only those that are not reading a long one: their rate is not to be had, and
-// the work unread there does not delay it. Counted in, a few documents made
-// short questions look too late on a fleet that was half idle, and on one that
-// reads a document on every engine they made each VM refuse them that saw it so.
+// EstimateCapacity returns the capacity that a prompt of the given length can
+// expect of the candidates. If some are reserved for long prompts, it counts only
+// those that match the length; for a short prompt it also omits those that are
+// reading a long one, because their rate is not available and their unread work
+// does not delay a short prompt. When they were counted, a few documents made
+// short requests look too late on a half-idle fleet, and on a fleet reading a
+// document on every engine each VM that saw it rejected short requests.
 func EstimateCapacity(cs []Candidate, tokens int) admitter.Capacity {
-	n := need{long: IsLongPrompt(tokens), split: split(cs)}
+	pc := pickContext{long: IsLongPrompt(tokens), reserved: someReserved(cs)}
 	var all, free admitter.Capacity
 	for i := range cs {
 		c := &cs[i]
-		if !n.kind(c) {
+		if !pc.matchesPromptLength(c) {
 			continue
 		}
-		c.add(&all)
-		if rate := c.rate(); c.backlog(rate) <= hold*rate {
-			c.add(&free)
+		c.addTo(&all)
+		if rate := c.effectivePrefillRate(); c.backlog(rate) <= maxBacklog*rate {
+			c.addTo(&free)
 		}
 	}
-	if n.long {
+	if pc.long {
 		return all
 	}
 	if free.PrefillRate == 0 {
-		if !n.split {
-			// Engines that take everything read short prompts before long ones.
-			// What stands there counts as far as it may be short prompts, of
-			// which the router sends no more than this ahead.
-			all.PrefillLeft = min(all.PrefillLeft, hold*all.PrefillRate)
+		if !pc.reserved {
+			// Engines that are not reserved read short prompts before long ones.
+			// Their unread work therefore counts only as far as it may be short
+			// prompts, of which the router sends no more than this ahead.
+			all.PrefillLeft = min(all.PrefillLeft, maxBacklog*all.PrefillRate)
 		}
 		return all
 	}
@@ -37,23 +38,24 @@
 	return free
 }
 
-// add counts the candidate in with this VM's share of it, which is at least
-// one slot's: a VM that has used nothing yet has been lent nothing yet.
-func (c *Candidate) add(p *admitter.Capacity) {
+// addTo adds this VM's share of the candidate to the capacity. The share is at
+// least one slot, because a VM that has used nothing yet has no lent slots.
+func (c *Candidate) addTo(capacity *admitter.Capacity) {
 	slots := max(1, c.FreeSlots+c.OwnStreams)
 	share := min(1, float64(slots)/float64(max(1, c.Slots)))
-	p.Slots += slots
-	p.Running += c.OwnStreams
-	p.PrefillRate += c.rate() * share
-	p.PrefillLeft += c.backlog(c.rate()) * share
-	p.UpstreamPrefillRate = max(p.UpstreamPrefillRate, c.rate())
-	p.DecodeRate = max(p.DecodeRate, c.DecodeRate*c.speed())
+	capacity.Slots += slots
+	capacity.Running += c.OwnStreams
+	capacity.PrefillRate += c.effectivePrefillRate() * share
+	capacity.PrefillLeft += c.backlog(c.effectivePrefillRate()) * share
+	capacity.UpstreamPrefillRate = max(capacity.UpstreamPrefillRate, c.effectivePrefillRate())
+	capacity.DecodeRate = max(capacity.DecodeRate, c.DecodeRate*c.effectiveSpeed())
 }
 
-// rate is the prompt tokens per second that the candidate really reads.
-func (c *Candidate) rate() float64 { return c.PrefillRate * c.speed() }
+// effectivePrefillRate is the prompt tokens per second that the candidate really
+// reads.
+func (c *Candidate) effectivePrefillRate() float64 { return c.PrefillRate * c.effectiveSpeed() }
 
-func (c *Candidate) speed() float64 {
+func (c *Candidate) effectiveSpeed() float64 {
 	if c.SpeedRatio <= 0 {
 		return 1
 	}
--- a/entry/request/router/subset.go
+++ b/entry/request/router/subset.go
@@ -7,21 +7,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Subset gives the n upstreams that a VM uses, by rendezvous hashing: each
-// upstream is used by nearly the same number of VMs, and a VM or an upstream
-// that comes or goes changes no more than its own part. The result is sorted.
-// Without it 330 VMs would each follow the reports of 12,000 upstreams.
+// Subset returns the n upstreams that a VM uses, chosen by rendezvous hashing:
+// every upstream is used by nearly the same number of VMs, and adding or removing
+// a VM or an upstream changes only its own assignments. The result is sorted.
+// Without subsets 330 VMs would each follow the reports of 12,000 upstreams.
 func Subset(vm string, upstreams []string, n int) []string {
 	if n >= len(upstreams) {
 		return slices.Sorted(slices.Values(upstreams))
 	}
-	names := ranked(vm, upstreams)[:max(n, 0)]
+	names := rankByScore(vm, upstreams)[:max(n, 0)]
 	slices.Sort(names)
 	return names
 }
 
-// ranked gives the names by their scores for a key, the highest first.
-func ranked(key string, names []string) []string {
+// rankByScore returns the names ordered by their score for a key, highest first.
+func rankByScore(key string, names []string) []string {
 	type scored struct {
 		score uint64
 		name  string
--- a/entry/request/router/subset_test.go
+++ b/entry/request/router/subset_test.go
@@ -28,7 +28,7 @@
 		for _, u := range s {
 			count[u]++
 		}
-		// Without one upstream that it used, a VM uses one other instead.
+		// With one of its upstreams removed, a VM uses exactly one other instead.
 		rest := slices.DeleteFunc(slices.Clone(up), func(u string) bool { return u == s[0] })
 		next := router.Subset(vm, rest, 120)
 		kept := 0
@@ -40,18 +40,18 @@
 		assert.Equal(t, kept, 119)
 	}
 	for _, u := range up {
-		// 10 are expected, with a standard deviation of 3.
+		// The expected count is 10, with a standard deviation of 3.
 		assert.Assert(t, count[u] >= 1 && count[u] <= 25, "%s is used by %d", u, count[u])
 	}
 	assert.DeepEqual(t, router.Subset("v", []string{"b", "a"}, 5), []string{"a", "b"})
 }
 
-func TestHomesAreEven(t *testing.T) {
+func TestPrimariesAreEven(t *testing.T) {
 	for _, tt := range []struct{ vms, up int }{{4, 16}, {8, 24}, {7, 15}, {9, 3}, {1, 5}, {330, 1200}} {
-		homes := router.AssignPrimaries(numbered("v", tt.vms), numbered("e", tt.up))
-		assert.Equal(t, len(homes), tt.up)
+		primaries := router.AssignPrimaries(numbered("v", tt.vms), numbered("e", tt.up))
+		assert.Equal(t, len(primaries), tt.up)
 		count := map[string]int{}
-		for _, v := range homes {
+		for _, v := range primaries {
 			count[v]++
 		}
 		for _, v := range numbered("v", tt.vms) {
@@ -62,7 +62,7 @@
 	assert.Equal(t, len(router.AssignPrimaries(nil, []string{"e"})), 0)
 }
 
-func TestGuestsTakeTurns(t *testing.T) {
+func TestSecondariesRotate(t *testing.T) {
 	vms := numbered("v", 8)
 	seen := map[string]int{}
 	for i := range 700 {
@@ -72,7 +72,7 @@
 	}
 	assert.Equal(t, len(seen), 7)
 	for v, n := range seen {
-		assert.Assert(t, n > 50, "%s has %d turns of 700", v, n)
+		assert.Assert(t, n > 50, "%s has %d terms of 700", v, n)
 	}
 	assert.Equal(t, router.SecondaryAt(epoch, []string{"v3"}, "e1", "v3"), "")
 }
