--- a/entry/process/syncer/syncer.go
+++ b/entry/process/syncer/syncer.go
@@ -19,9 +19,9 @@
 	"github.com/heathervane/heathervane/entry/process/replicator"
 )
 
-// ErrForgotten says that the platform no longer keeps the records asked for:
+// ErrNotRetained says that the platform no longer keeps the records asked for:
 // the stream has to be read whole again.
-var ErrForgotten = errors.New("the records are no longer kept")
+var ErrNotRetained = errors.New("the records are no longer kept")
 
 const (
 	// tryAgain is the wait after a failed reading, and mostWait its bound as
@@ -64,20 +64,20 @@
 
 // Peers are the other VMs.
 type Peers interface {
-	// Duty is whether this VM reads the platform for others, and ReadsAtStart whether it
+	// ReadRole is whether this VM reads the platform for others, and ShouldReadAtStart whether it
 	// does where it has just started and nobody that it hears will.
-	Duty() gossiper.Duty
-	ReadsAtStart() bool
-	// Publish tells the other VMs at once how far this one has read.
-	Publish()
-	// Answered is when the platform last confirmed any offset of a stream to a
+	ReadRole() gossiper.ReadRole
+	ShouldReadAtStart() bool
+	// PublishOffsets tells the other VMs at once how far this one has read.
+	PublishOffsets()
+	// LastConfirmed is when the platform last confirmed any offset of a stream to a
 	// VM that can be heard.
-	Answered(stream string) time.Time
-	// Confirmed is when a VM was last told that a stream went no further than
+	LastConfirmed(stream string) time.Time
+	// ConfirmedAt is when a VM was last told that a stream went no further than
 	// an offset; zero where none was.
-	Confirmed(stream string, offset int64) time.Time
-	// Ahead names one that has read further.
-	Ahead(stream string, than int64) (netip.AddrPort, bool)
+	ConfirmedAt(stream string, offset int64) time.Time
+	// MostAdvancedPeer names one that has read further.
+	MostAdvancedPeer(stream string, than int64) (netip.AddrPort, bool)
 	// Fetch gets its records from an offset on.
 	Fetch(ctx context.Context, from netip.AddrPort, stream string, offset int64) (replicator.Page, error)
 }
@@ -87,15 +87,15 @@
 	Name string
 	Copy *replicator.Copy
 	// Wait is how long the platform holds a reading that has nothing new, and
-	// Every how long after a reading the next one begins.
-	Wait, Every time.Duration
-	// Stale is how old a copy may be before this VM looks for another way: one
+	// Interval how long after a reading the next one begins.
+	Wait, Interval time.Duration
+	// StaleAfter is how old a copy may be before this VM looks for another way: one
 	// that reads asks a peer, one for which another reads does so itself.
-	Stale time.Duration
-	// Behind is how long a peer may be ahead before it is asked, also while the
+	StaleAfter time.Duration
+	// MaxLag is how long a peer may be ahead before it is asked, also while the
 	// copy is not stale: a long reading that the platform forgets to answer looks
 	// like one that has nothing new. Zero where only age counts.
-	Behind time.Duration
+	MaxLag time.Duration
 	// Shared says that one VM of a zone reads for the others, which take what
 	// it has as soon as it says that there is more.
 	Shared bool
@@ -144,7 +144,7 @@
 		err := s.read(ctx, whole || !s.whole())
 		now := s.now()
 		s.failed.Store(0)
-		if err != nil && !errors.Is(err, ErrForgotten) {
+		if err != nil && !errors.Is(err, ErrNotRetained) {
 			s.failed.Store(now.UnixMilli())
 		}
 		switch {
@@ -155,11 +155,11 @@
 			}
 			whole, wait, read = false, tryAgain, now
 			if first && s.known() && s.stream.Shared {
-				s.peers.Publish()
+				s.peers.PublishOffsets()
 			}
-			pause(ctx, s.stream.Every)
+			pause(ctx, s.stream.Interval)
 			continue
-		case errors.Is(err, ErrForgotten):
+		case errors.Is(err, ErrNotRetained):
 			s.log.Info().Msg("records forgotten by the platform, reading all")
 			whole = true
 			continue
@@ -206,10 +206,10 @@
 // starts would else make its own calls.
 func (s *Syncer) starts() bool {
 	old := s.now().Sub(s.ran)
-	if _, ahead := s.peers.Ahead(s.stream.Name, 0); ahead && old < startWait {
+	if _, ahead := s.peers.MostAdvancedPeer(s.stream.Name, 0); ahead && old < startWait {
 		return false
 	}
-	return old >= startWait || (old >= greeting && s.peers.ReadsAtStart())
+	return old >= startWait || (old >= greeting && s.peers.ShouldReadAtStart())
 }
 
 // due says that this VM has to read the platform. Each reading is paid for, and the
@@ -227,15 +227,15 @@
 	if asOf.IsZero() {
 		asOf = s.began
 	}
-	old := s.now().Sub(asOf) - s.stream.Stale
-	switch s.peers.Duty() {
-	case gossiper.Reads:
+	old := s.now().Sub(asOf) - s.stream.StaleAfter
+	switch s.peers.ReadRole() {
+	case gossiper.Reader:
 		return true
-	case gossiper.StandsBy:
+	case gossiper.Standby:
 		return old >= 0
-	case gossiper.Follows:
+	case gossiper.Follower:
 	}
-	answered := s.now().Sub(s.peers.Answered(s.stream.Name)) < s.stream.Stale
+	answered := s.now().Sub(s.peers.LastConfirmed(s.stream.Name)) < s.stream.StaleAfter
 	return old >= followSpare && (answered || end == 0)
 }
 
@@ -263,8 +263,8 @@
 		if err != nil {
 			return err
 		}
-		s.stream.Copy.Complete(rs, end, asOf)
-		s.stream.Copy.Read(asOf)
+		s.stream.Copy.MergeSnapshot(rs, end, asOf)
+		s.stream.Copy.MarkRead(asOf)
 		return nil
 	}
 	short, cancel := context.WithTimeout(ctx, s.stream.Wait+spare)
@@ -275,7 +275,7 @@
 	}
 	now := s.now()
 	s.stream.Copy.Merge(rs, end, now)
-	s.stream.Copy.Read(now)
+	s.stream.Copy.MarkRead(now)
 	return nil
 }
 
@@ -286,10 +286,10 @@
 	for ctx.Err() == nil {
 		s.pausePeers(ctx)
 		end, asOf := s.stream.Copy.End()
-		if confirmed := s.peers.Confirmed(s.stream.Name, end); confirmed.After(asOf) {
+		if confirmed := s.peers.ConfirmedAt(s.stream.Name, end); confirmed.After(asOf) {
 			s.stream.Copy.Confirm(confirmed)
 		}
-		from, ok := s.peers.Ahead(s.stream.Name, end)
+		from, ok := s.peers.MostAdvancedPeer(s.stream.Name, end)
 		if !ok {
 			behind = time.Time{}
 			continue
@@ -297,8 +297,8 @@
 		if behind.IsZero() {
 			behind = s.now()
 		}
-		overdue := s.stream.Behind > 0 && s.now().Sub(behind) >= s.stream.Behind
-		if end > 0 && s.now().Sub(asOf) < s.stream.Stale && s.due() && !overdue {
+		overdue := s.stream.MaxLag > 0 && s.now().Sub(behind) >= s.stream.MaxLag
+		if end > 0 && s.now().Sub(asOf) < s.stream.StaleAfter && s.due() && !overdue {
 			continue
 		}
 		short, cancel := context.WithTimeout(ctx, peerTime)
@@ -309,8 +309,8 @@
 			continue
 		}
 		s.log.Debug().Str("peer", from.String()).Int("records", len(p.Records)).Int64("end", p.End).
-			Bool("whole", p.Whole).Dur("age", s.now().Sub(p.AsOf)).Msg("records read from a peer")
-		s.stream.Copy.Take(p)
+			Bool("whole", p.Snapshot).Dur("age", s.now().Sub(p.AsOf)).Msg("records read from a peer")
+		s.stream.Copy.MergePage(p)
 	}
 }
 
