--- a/entry/process/tracker/event.go
+++ b/entry/process/tracker/event.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// A Finding says what a VM has found out about an upstream by a request of its
-// own.
+// A Finding is what a VM has found out about an upstream from one of its own
+// requests.
 type Finding int
 
-// What may be found out.
+// The findings. Their numbers are sent to other VMs.
 const (
-	// FoundFailure is a request that failed, FoundBroken a connection that
+	// FoundFailure is a failed request, FoundConnectionFailure a connection that
 	// could not be made or broke.
 	FoundFailure Finding = iota + 1
 	FoundConnectionFailure
-	// FoundAnswer is an answer that has begun.
+	// FoundAnswer is a response that has begun.
 	FoundAnswer
-	// FoundCold is an upstream in cold start, FoundMisplaced another process at
-	// its address.
+	// FoundCold is an upstream in cold start, FoundReplaced another process at an
+	// upstream's address.
 	FoundCold
 	FoundReplaced
-	// FoundStall is work that needs several upstreams and has not gone on.
+	// FoundStall is work that needs several upstreams and makes no progress.
 	FoundStall
-	// FoundLeaving is an upstream that no longer helps.
+	// FoundLeaving is an upstream that appears to be leaving.
 	FoundLeaving
-	// FoundLimit is an upstream that has named a limit, or named none any more.
+	// FoundLimit is an upstream that announced a limit, or that it no longer has one.
 	FoundLimit
 )
 
-// An Event is what a VM found out about upstreams.
+// An Event is something that a VM found out about upstreams.
 type Event struct {
 	Finding Finding
-	// Upstreams is one, but for FoundStalled.
+	// Upstreams holds one ID, or several for FoundStall.
 	Upstreams []string
-	// For is how long a cold start still takes, or for how long work has not
-	// gone on.
+	// For is the remaining cold start time of FoundCold, or the time without progress
+	// of FoundStall.
 	For time.Duration
-	// Limit is that of FoundLimit.
+	// Limit is the limit of FoundLimit.
 	Limit Limit
 }
 
-// SetListener has every Event that this VM's own requests bring reported to whoever
-// places requests at the same upstreams for other VMs. It is called once, before
-// the Tracker is used.
+// SetListener sets the function that receives each Event from this VM's own requests,
+// to pass it on to the VMs that schedule requests to the same upstreams. It must be
+// called at most once, before the Tracker is used.
 func (t *Tracker) SetListener(listener func(Event)) { t.listener = listener }
 
 func (t *Tracker) notify(e Event) {
@@ -49,26 +49,26 @@
 	}
 }
 
-// MergeEvent notes what another VM has found out.
+// MergeEvent applies what another VM has found out. It does not notify the listener.
 func (t *Tracker) MergeEvent(now time.Time, e Event) {
 	for _, id := range e.Upstreams {
 		switch e.Finding {
 		case FoundFailure, FoundConnectionFailure:
-			t.fail(now, id, e.Finding == FoundConnectionFailure)
+			t.addFailure(now, id, e.Finding == FoundConnectionFailure)
 		case FoundAnswer:
-			t.answer(now, id)
+			t.addAnswer(now, id)
 		case FoundCold:
-			t.turnCold(now, id, e.For)
+			t.setCold(now, id, e.For)
 		case FoundReplaced:
 			t.drop(id)
 		case FoundLeaving:
-			t.leave(now, id)
+			t.setLeaving(now, id)
 		case FoundStall:
-			if t.quiet(id, now.Add(-e.For)) {
-				t.fail(now, id, true)
+			if t.inactiveSince(id, now.Add(-e.For)) {
+				t.addFailure(now, id, true)
 			}
 		case FoundLimit:
-			t.limit(id, e.Limit)
+			t.updateLimit(id, e.Limit)
 		}
 	}
 }
--- a/entry/process/tracker/limit.go
+++ b/entry/process/tracker/limit.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// A Limit is how many requests a second an upstream takes from all VMs together, for
-// as long as it says so.
+// A Limit is the number of requests per second that an upstream accepts from all VMs
+// together. It applies until the upstream announces another one.
 type Limit struct {
 	Limited bool
 	Rate    float64
-	// AsOf is when the upstream said that, or that it has none; zero where it never
-	// named one.
+	// AsOf is when the upstream announced this limit or that it has none; zero if it
+	// has never announced a limit.
 	AsOf time.Time
 }
 
-// ReportLimit notes what an upstream said of its limit. It gives what was known before,
-// and says whether that was something else. Whoever listens is told each time that a
-// limit is named: one word may be lost.
+// ReportLimit records a limit that an upstream announced to this VM. It returns the
+// previous limit and reports whether the new one differs. The listener is notified
+// each time a limit is announced, even an unchanged one, because a notification may
+// be lost.
 func (t *Tracker) ReportLimit(id string, l Limit) (old Limit, changed bool) {
-	old, newer := t.limit(id, l)
+	old, newer := t.updateLimit(id, l)
 	changed = newer && (old.Limited != l.Limited || old.Rate != l.Rate)
 	if changed || (newer && l.Limited) {
 		t.notify(Event{Finding: FoundLimit, Upstreams: []string{id}, Limit: l})
@@ -24,17 +25,18 @@
 	return old, changed
 }
 
-// MergeLimit notes what another VM was told of an upstream's limit.
+// MergeLimit records a limit that an upstream announced to another VM.
 func (t *Tracker) MergeLimit(id string, l Limit) (old Limit, changed bool) {
-	old, newer := t.limit(id, l)
+	old, newer := t.updateLimit(id, l)
 	return old, newer && (old.Limited != l.Limited || old.Rate != l.Rate)
 }
 
-// limit keeps the newest word of an upstream that has ever named a limit.
-func (t *Tracker) limit(id string, l Limit) (old Limit, newer bool) {
+// updateLimit stores a newer limit of an upstream. An announcement that there is no
+// limit is ignored if the upstream has never announced one.
+func (t *Tracker) updateLimit(id string, l Limit) (old Limit, newer bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.known[id]
+	s, ok := t.upstreams[id]
 	if !ok || !l.AsOf.After(s.Limit.AsOf) || (!l.Limited && s.Limit.AsOf.IsZero()) {
 		return Limit{}, false
 	}
@@ -42,20 +44,20 @@
 	return old, true
 }
 
-// Limits are the newest words of the upstreams of a service that have named a limit,
-// of a zone or, where that is empty, of all.
+// Limits returns the last limits of a service's upstreams that have announced one, in
+// the given zone or, if zone is empty, in all zones.
 func (t *Tracker) Limits(service, zone string) map[string]Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var found map[string]Limit
-	for id, s := range t.known {
+	var limits map[string]Limit
+	for id, s := range t.upstreams {
 		if s.Limit.AsOf.IsZero() || s.Service != service || (zone != "" && s.Zone != zone) {
 			continue
 		}
-		if found == nil {
-			found = make(map[string]Limit)
+		if limits == nil {
+			limits = make(map[string]Limit)
 		}
-		found[id] = s.Limit
+		limits[id] = s.Limit
 	}
-	return found
+	return limits
 }
--- a/entry/process/tracker/outcomes.go
+++ b/entry/process/tracker/outcomes.go
@@ -5,29 +5,28 @@
 	"time"
 )
 
-// halfLife is how fast outcomes are forgotten. An upstream that fails a part of
-// its requests shows about two failures a second under today's load, so that
-// two seconds keep it disliked while it goes on.
+// halfLife is the half-life of recorded outcomes. An upstream that fails some of its
+// requests shows about two failures per second under the usual load; with two seconds
+// it stays out of favour for as long as it fails.
 const halfLife = 2 * time.Second
 
-// Outcomes are how many requests an upstream failed and answered lately: older
-// ones count for less.
+// Outcomes counts failed and answered requests, with exponential decay.
 type Outcomes struct {
 	Failed, Answered float64
-	at               time.Time
+	decayedAt        time.Time
 }
 
-// Add counts outcomes.
+// Add adds failures and answers.
 func (o *Outcomes) Add(now time.Time, failed, answered float64) {
 	o.Decay(now)
 	o.Failed += failed
 	o.Answered += answered
 }
 
-// Decay lets what was counted count for less with time.
+// Decay reduces the counts by the time that has passed since the last update.
 func (o *Outcomes) Decay(now time.Time) {
-	left := math.Exp2(-now.Sub(o.at).Seconds() / halfLife.Seconds())
-	o.Failed *= left
-	o.Answered *= left
-	o.at = now
+	factor := math.Exp2(-now.Sub(o.decayedAt).Seconds() / halfLife.Seconds())
+	o.Failed *= factor
+	o.Answered *= factor
+	o.decayedAt = now
 }
--- a/entry/process/tracker/tracker.go
+++ b/entry/process/tracker/tracker.go
@@ -1,10 +1,12 @@
-// Package tracker keeps what this VM knows of upstreams: which the platform
-// lists, which are leaving, cold or in a zone taken out of service, and which
-// have failed lately. It answers upstreams that leave, die, turn cold or fail
-// part of their requests while their health check is good. Without it a VM goes
-// on sending to what is gone, and callers wait for answers that never come.
+// Package tracker keeps the state of upstreams as this VM knows it: which ones the
+// platform lists, which are draining, in cold start or in a disabled zone, and which
+// have failed recently. It handles upstreams that leave, crash, restart cold, or fail
+// some of their requests while their health check passes. Without it a VM keeps
+// sending requests to upstreams that are gone, and callers wait for responses that
+// never come.
 //
-// It reads no clock and opens no connection. It is safe for concurrent use.
+// The package reads no clock and opens no connections. A Tracker is safe for
+// concurrent use.
 package tracker
 
 import (
@@ -13,88 +15,93 @@
 )
 
 const (
-	// unreachable is how long an upstream gets nothing after a connection to
-	// it could not be made or broke without an answer; it doubles with each
-	// further failure in a row up to mostUnreachable. An upstream that starts
-	// again does so within some seconds.
-	unreachable     = 300 * time.Millisecond
-	mostUnreachable = 4 * time.Second
-	// leaving is how long an upstream that declined to help is taken for leaving.
-	// By then the list says so, unless the platform is away.
-	leaving = 4 * time.Second
-	// mostDoubled bounds the doublings of unreachable.
-	mostDoubled = 8
+	// unreachableBackoff is how long an upstream gets no requests after a connection
+	// to it could not be made, or broke before a response. It doubles with each
+	// consecutive failure, up to maxUnreachableBackoff. An upstream that restarts
+	// does so within a few seconds.
+	unreachableBackoff    = 300 * time.Millisecond
+	maxUnreachableBackoff = 4 * time.Second
+	// leavingPeriod is how long an upstream is treated as leaving after ReportLeaving.
+	// By then the list shows it as draining, unless the platform is unavailable.
+	leavingPeriod = 4 * time.Second
+	// maxDoublings bounds the doublings of unreachableBackoff.
+	maxDoublings = 8
 )
 
-// An Upstream is one that the platform lists.
+// An Upstream is an upstream as the platform lists it.
 type Upstream struct {
 	ID, Service, Address, Zone string
 	Slots                      int
-	// Draining says that it takes no new work and will end.
+	// Draining reports that the upstream takes no new work and is going to stop.
 	Draining bool
-	// Cold is how much longer it was in cold start when this was read.
+	// Cold is the remaining cold start time when the entry was read.
 	Cold time.Duration
-	// StartedAt is when it started, in Unix milliseconds; 0 where unknown.
+	// StartedAt is the start time of the upstream process in Unix milliseconds; 0 if
+	// unknown.
 	StartedAt int64
-	// Sequence counts what it wrote to the list since then.
+	// Sequence counts the entries that the process has written to the list.
 	Sequence int64
 }
 
-// A State is an Upstream with what else is known.
+// A State is an Upstream with what this VM has learned about it.
 type State struct {
 	Upstream
-	// ColdUntil is when its cold start ends.
+	// ColdUntil is when the cold start ends.
 	ColdUntil time.Time
-	// Outcomes are those of this VM's requests there, and of the others' as far
-	// as they have told this one.
+	// Outcomes counts the results of this VM's requests to the upstream, and of those
+	// that other VMs have reported.
 	Outcomes Outcomes
-	// StepTimeRatio is its measured step time over the promised one: 1 as promised.
+	// StepTimeRatio is the measured step time divided by the promised one.
 	StepTimeRatio float64
-	// UnreachableUntil is until when it gets nothing, after broken connections.
+	// UnreachableUntil is the time before which the upstream gets no requests because
+	// connections to it have failed.
 	UnreachableUntil time.Time
-	// LeavingUntil is until when it is taken for leaving, whatever the list says: it
-	// has declined to help, or its health check has failed beside one that had.
+	// LeavingUntil is the time before which the upstream is treated as leaving,
+	// whatever the list says: it refused to help with a prompt, or its health check
+	// failed in a probe that such a refusal triggered.
 	LeavingUntil time.Time
-	// Limit is what it has said of how much it takes.
-	Limit   Limit
-	inRow   int
-	heardAt time.Time
-	// lapsedAt is when its entry went without its having said that it leaves,
-	// after a time without news from the platform.
+	// Limit is the last rate limit that the upstream announced.
+	Limit               Limit
+	consecutiveFailures int
+	lastActivity        time.Time
+	// lapsedAt is when the upstream's entry disappeared from the list after an
+	// interval without answers from the platform, although the upstream had not been
+	// draining. It is zero if that has not happened.
 	lapsedAt time.Time
 }
 
-// A Tracker keeps upstreams by ID.
+// A Tracker stores the state of upstreams by ID.
 type Tracker struct {
-	mu    sync.Mutex
-	known map[string]*State
-	zones map[string]bool
-	// outdated says that others have read the list much further.
+	mu            sync.Mutex
+	upstreams     map[string]*State
+	disabledZones map[string]bool
+	// outdated reports that this VM's list is too far behind those of other VMs.
 	outdated bool
-	// removed are the last entries of upstreams that went.
+	// removed holds the last entries of upstreams that were removed, so that older
+	// entries which arrive later are ignored.
 	removed  map[string]Upstream
 	listener func(Event)
 }
 
-// New returns a Tracker that knows none, and takes that for the truth until it is
-// told that its list is outdated.
+// New returns a Tracker without upstreams. Its list counts as current until
+// SetOutdated says otherwise.
 func New() *Tracker {
-	return &Tracker{known: make(map[string]*State), zones: make(map[string]bool), removed: make(map[string]Upstream)}
+	return &Tracker{upstreams: make(map[string]*State), disabledZones: make(map[string]bool), removed: make(map[string]Upstream)}
 }
 
-// Put notes an upstream's entry, and says whether it changed anything that
-// matters.
+// Put stores an upstream's list entry. It reports whether anything has changed, apart
+// from the sequence number and from how long a cold start still lasts.
 func (t *Tracker) Put(now time.Time, u Upstream) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.known[u.ID]
-	if (ok && s.after(u)) || t.removed[u.ID].after(u) {
+	s, ok := t.upstreams[u.ID]
+	if (ok && s.newerThan(u)) || t.removed[u.ID].newerThan(u) {
 		return false
 	}
 	if !ok || (u.StartedAt != s.StartedAt && u.StartedAt != 0) {
-		// One that started again has nothing left of before.
+		// A restarted upstream keeps nothing of its previous state.
 		s = &State{StepTimeRatio: 1}
-		t.known[u.ID] = s
+		t.upstreams[u.ID] = s
 		changed = true
 	}
 	delete(t.removed, u.ID)
@@ -111,24 +118,25 @@
 	return changed
 }
 
-// after says that an entry was written after another one of the same upstream.
-// A write that the platform carried out late would bring back as ready an
-// upstream that has said since that it leaves, or is gone.
-func (u Upstream) after(other Upstream) bool {
+// newerThan reports whether u was written after another entry of the same upstream.
+// The platform may carry out a write late: an entry that says "ready" must not bring
+// back an upstream that has since started draining or stopped.
+func (u Upstream) newerThan(other Upstream) bool {
 	if u.StartedAt != other.StartedAt {
 		return u.StartedAt > other.StartedAt
 	}
 	return u.Sequence > other.Sequence
 }
 
-// Remove forgets an upstream whose entry is gone. After a time without news of
-// the platform an entry may be gone only because it lapsed meanwhile: with
-// lapsed, the upstream is used on until Expire, so that the fleet does not stop
-// in the seconds that upstreams take to be listed again.
+// Remove removes an upstream whose entry has disappeared, and reports whether it was
+// known. After an interval without answers from the platform an entry may have
+// disappeared only because it expired. If lapsed is set, an upstream that was not
+// draining therefore stays in use until Expire removes it; otherwise the fleet would
+// stop for the seconds that upstreams take to register again.
 func (t *Tracker) Remove(now time.Time, id string, lapsed bool) (known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.known[id]
+	s, ok := t.upstreams[id]
 	if !ok {
 		return false
 	}
@@ -142,75 +150,76 @@
 	return true
 }
 
-// mostRemoved bounds how many upstreams that went are remembered.
-const mostRemoved = 4096
+// maxRemoved bounds how many removed upstreams are remembered.
+const maxRemoved = 4096
 
 func (t *Tracker) forget(s *State) {
-	delete(t.known, s.ID)
-	if len(t.removed) >= mostRemoved {
+	delete(t.upstreams, s.ID)
+	if len(t.removed) >= maxRemoved {
 		clear(t.removed)
 	}
 	t.removed[s.ID] = s.Upstream
 }
 
-// Expire forgets upstreams whose entries lapsed longer ago than so, and names
-// them.
+// Expire removes the upstreams whose entries lapsed at least the given time ago, and
+// returns their IDs.
 func (t *Tracker) Expire(now time.Time, after time.Duration) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var gone []string
-	for id, s := range t.known {
+	var expired []string
+	for id, s := range t.upstreams {
 		if !s.lapsedAt.IsZero() && now.Sub(s.lapsedAt) >= after {
 			t.forget(s)
-			gone = append(gone, id)
+			expired = append(expired, id)
 		}
 	}
-	return gone
+	return expired
 }
 
-// SetDisabledZones replaces the zones whose upstreams get no new work.
+// SetDisabledZones replaces the set of zones whose upstreams get no new work.
 func (t *Tracker) SetDisabledZones(zones map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.zones = zones
+	t.disabledZones = zones
 }
 
-// Usable are the upstreams of a service that may get new work.
+// Usable returns the upstreams of a service that may get new work.
 func (t *Tracker) Usable(now time.Time, service string) []State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var states []State
-	for _, s := range t.known {
-		if s.Service != service || !t.may(s) {
+	for _, s := range t.upstreams {
+		if s.Service != service || !t.usable(s) {
 			continue
 		}
-		c := *s
-		c.Outcomes.Decay(now)
-		states = append(states, c)
+		copied := *s
+		copied.Outcomes.Decay(now)
+		states = append(states, copied)
 	}
 	return states
 }
 
-// CountUsableByZone are how many upstreams of a service each zone has that may get new work.
+// CountUsableByZone returns the number of upstreams of a service that may get new
+// work, by zone.
 func (t *Tracker) CountUsableByZone(service string) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sizes := make(map[string]int)
-	for _, s := range t.known {
-		if s.Service == service && t.may(s) {
+	for _, s := range t.upstreams {
+		if s.Service == service && t.usable(s) {
 			sizes[s.Zone]++
 		}
 	}
 	return sizes
 }
 
-// CountListed is how many upstreams of a service the platform lists, whatever they may
-// get.
+// CountListed returns the number of upstreams of a service that the platform lists,
+// whether or not they may get work.
 func (t *Tracker) CountListed(service string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for _, s := range t.known {
+	for _, s := range t.upstreams {
 		if s.Service == service {
 			n++
 		}
@@ -218,39 +227,42 @@
 	return n
 }
 
-// IsUsable says whether an upstream may get work at this moment. Whoever sends asks
-// right before, since a process may have stood still since it chose.
+// IsUsable reports whether an upstream may get work at this moment. Callers check it
+// right before they send, because the process may have been paused since the upstream
+// was selected.
 func (t *Tracker) IsUsable(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.known[id]
-	return ok && t.may(s)
+	s, ok := t.upstreams[id]
+	return ok && t.usable(s)
 }
 
-func (t *Tracker) may(s *State) bool { return !t.outdated && !s.Draining && !t.zones[s.Zone] }
+func (t *Tracker) usable(s *State) bool {
+	return !t.outdated && !s.Draining && !t.disabledZones[s.Zone]
+}
 
-// Get is what is known of an upstream.
+// Get returns the state of an upstream.
 func (t *Tracker) Get(id string) (State, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.known[id]
+	s, ok := t.upstreams[id]
 	if !ok {
 		return State{}, false
 	}
 	return *s, true
 }
 
-// Outdated says that the list is too old to tell which upstreams there are.
+// Outdated reports whether the list is too old to tell which upstreams exist.
 func (t *Tracker) Outdated() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.outdated
 }
 
-// SetOutdated says whether this VM's list is so old that upstreams may have left for
-// longer than they may get work, and says whether that is new. While it is, none
-// may get any, also none that was chosen before: requests wait for the list, or
-// are refused as not run.
+// SetOutdated records whether this VM's list is so old that upstreams may have been
+// draining for longer than they may be sent work, and reports whether that has
+// changed. While the list is outdated no upstream may get work, not even one that was
+// selected before: requests wait for the list or are refused as not run.
 func (t *Tracker) SetOutdated(outdated bool) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -259,69 +271,71 @@
 	return changed
 }
 
-// ReportFailure notes a request that failed there. Broken says that the connection
-// failed, and not the request.
+// ReportFailure records a failed request to an upstream. If broken is set, the
+// connection failed and not the request.
 func (t *Tracker) ReportFailure(now time.Time, id string, broken bool) {
-	t.fail(now, id, broken)
-	found := FoundFailure
+	t.addFailure(now, id, broken)
+	finding := FoundFailure
 	if broken {
-		found = FoundConnectionFailure
+		finding = FoundConnectionFailure
 	}
-	t.notify(Event{Finding: found, Upstreams: []string{id}})
+	t.notify(Event{Finding: finding, Upstreams: []string{id}})
 }
 
-func (t *Tracker) fail(now time.Time, id string, broken bool) {
+func (t *Tracker) addFailure(now time.Time, id string, broken bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.known[id]
+	s, ok := t.upstreams[id]
 	if !ok {
 		return
 	}
 	s.Outcomes.Add(now, 1, 0)
 	if broken {
-		wait := min(mostUnreachable, unreachable<<min(s.inRow, mostDoubled))
-		s.UnreachableUntil = now.Add(wait)
-		s.inRow++
+		backoff := min(maxUnreachableBackoff, unreachableBackoff<<min(s.consecutiveFailures, maxDoublings))
+		s.UnreachableUntil = now.Add(backoff)
+		s.consecutiveFailures++
 	}
 }
 
-// ReportAnswer notes a request that the upstream has begun to answer.
+// ReportAnswer records that an upstream has begun to respond to a request.
 func (t *Tracker) ReportAnswer(now time.Time, id string) {
-	t.answer(now, id)
+	t.addAnswer(now, id)
 	t.notify(Event{Finding: FoundAnswer, Upstreams: []string{id}})
 }
 
-func (t *Tracker) answer(now time.Time, id string) {
+func (t *Tracker) addAnswer(now time.Time, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s, ok := t.known[id]; ok {
-		s.inRow = 0
+	if s, ok := t.upstreams[id]; ok {
+		s.consecutiveFailures = 0
 		s.UnreachableUntil = time.Time{}
-		s.heardAt = now
+		s.lastActivity = now
 		s.Outcomes.Add(now, 0, 1)
 	}
 }
 
-// ReportActivity notes a sign of life.
+// ReportActivity records that an upstream is alive.
 func (t *Tracker) ReportActivity(now time.Time, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s, ok := t.known[id]; ok {
-		s.heardAt = now
+	if s, ok := t.upstreams[id]; ok {
+		s.lastActivity = now
 	}
 }
 
-// ReportStall notes that work has not gone on since a time which needs several
-// upstreams. One of them may have died, and none says which: it is one that has
-// given no sign of life since then. Without this it would stall each prompt that
-// it is asked to help with, while the one that was asked gets the blame.
+// ReportStall records that work which needs several upstreams has made no progress
+// since a given time. One of them may have crashed, and none says which. The
+// upstreams that have shown no activity since then count as failed and are returned.
+// Without this a crashed upstream would stall each prompt that it is asked to help
+// with, while the upstream that took the request gets the blame.
 //
-// Another VM may have had answers from one that is quiet here, so that those who
-// listen are told of the stall and judge for themselves.
+// Another VM may have had responses from an upstream that shows no activity here. The
+// listener is therefore told of all the upstreams, and each VM that it informs
+// decides for itself.
 func (t *Tracker) ReportStall(now, since time.Time, ids []string) (blamed []string) {
 	for _, id := range ids {
-		if t.quiet(id, since) {
-			t.fail(now, id, true)
+		if t.inactiveSince(id, since) {
+			t.addFailure(now, id, true)
 			blamed = append(blamed, id)
 		}
 	}
@@ -329,20 +343,22 @@
 	return blamed
 }
 
-// quiet says that an upstream has given no sign of life since a time.
-func (t *Tracker) quiet(id string, since time.Time) bool {
+// inactiveSince reports whether a known upstream has shown no activity since a given
+// time.
+func (t *Tracker) inactiveSince(id string, since time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, ok := t.known[id]
-	return ok && s.heardAt.Before(since)
+	s, ok := t.upstreams[id]
+	return ok && s.lastActivity.Before(since)
 }
 
-// Unreachable are the upstreams that cannot be reached now.
+// Unreachable returns the IDs of the upstreams that are in backoff after connection
+// failures.
 func (t *Tracker) Unreachable(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var ids []string
-	for id, s := range t.known {
+	for id, s := range t.upstreams {
 		if now.Before(s.UnreachableUntil) {
 			ids = append(ids, id)
 		}
@@ -350,36 +366,36 @@
 	return ids
 }
 
-// ReportCold notes that an upstream said it is in cold start.
+// ReportCold records that an upstream said it is in cold start for the time left.
 func (t *Tracker) ReportCold(now time.Time, id string, left time.Duration) {
-	t.turnCold(now, id, left)
+	t.setCold(now, id, left)
 	t.notify(Event{Finding: FoundCold, Upstreams: []string{id}, For: left})
 }
 
-func (t *Tracker) turnCold(now time.Time, id string, left time.Duration) {
+func (t *Tracker) setCold(now time.Time, id string, left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s, ok := t.known[id]; ok && left > 0 {
+	if s, ok := t.upstreams[id]; ok && left > 0 {
 		s.ColdUntil = now.Add(left)
 	}
 }
 
-// ReportLeaving notes that an upstream seems to leave.
+// ReportLeaving records that an upstream appears to be leaving.
 func (t *Tracker) ReportLeaving(now time.Time, id string) {
-	t.leave(now, id)
+	t.setLeaving(now, id)
 	t.notify(Event{Finding: FoundLeaving, Upstreams: []string{id}})
 }
 
-func (t *Tracker) leave(now time.Time, id string) {
+func (t *Tracker) setLeaving(now time.Time, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s, ok := t.known[id]; ok {
-		s.LeavingUntil = now.Add(leaving)
+	if s, ok := t.upstreams[id]; ok {
+		s.LeavingUntil = now.Add(leavingPeriod)
 	}
 }
 
-// ReportReplaced notes that another process answers at an upstream's address: it is
-// gone, whatever the list says.
+// ReportReplaced records that another process answers at an upstream's address: the
+// upstream is gone, whatever the list says.
 func (t *Tracker) ReportReplaced(id string) {
 	t.notify(Event{Finding: FoundReplaced, Upstreams: []string{id}})
 	t.drop(id)
@@ -388,12 +404,12 @@
 func (t *Tracker) drop(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.known, id)
+	delete(t.upstreams, id)
 }
 
-// Len is how many upstreams are known.
+// Len returns the number of known upstreams.
 func (t *Tracker) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.known)
+	return len(t.upstreams)
 }
--- a/entry/process/tracker/tracker_test.go
+++ b/entry/process/tracker/tracker_test.go
@@ -23,9 +23,9 @@
 	return out
 }
 
-// An upstream that leaves, whose entry is gone or whose zone is taken out gets
-// no new work, also when a VM had chosen it a moment before.
-func TestLeavingUpstreamsGetNothing(t *testing.T) {
+// An upstream that is draining, was removed or is in a disabled zone gets no new
+// work, even if it was selected just before.
+func TestLeavingUpstreamsAreNotUsable(t *testing.T) {
 	tr := tracker.New()
 	tr.Put(now, upstream("a"))
 	assert.DeepEqual(t, ids(tr, now), []string{"a"})
@@ -47,10 +47,10 @@
 	assert.Assert(t, !tr.Remove(now, "b", false))
 }
 
-// The platform carries a write out seconds late: the entry "ready" that an
-// upstream wrote before "draining", or before it was gone, lands after it. An
-// upstream that came back by it would get work that it never answers.
-func TestEntriesThatLandLateChangeNothing(t *testing.T) {
+// The platform may carry out a write seconds late: the entry "ready" that an upstream
+// wrote before "draining", or before it was removed, arrives after it. If that entry
+// brought the upstream back, it would get work that it never answers.
+func TestLateEntriesAreIgnored(t *testing.T) {
 	tr := tracker.New()
 	u := upstream("a")
 	u.Draining = true
@@ -64,19 +64,19 @@
 	assert.Assert(t, !tr.Put(now, late))
 	assert.Equal(t, tr.Len(), 0)
 
-	born := upstream("a")
-	born.StartedAt, born.Sequence = 200, 0
-	assert.Assert(t, tr.Put(now, born))
+	restarted := upstream("a")
+	restarted.StartedAt, restarted.Sequence = 200, 0
+	assert.Assert(t, tr.Put(now, restarted))
 	assert.Assert(t, tr.IsUsable("a"))
 	older := upstream("a")
 	older.Sequence = 99
 	assert.Assert(t, !tr.Put(now, older))
 }
 
-// While the platform is down entries lapse although their upstreams live. If all
-// were dropped with the first reading afterwards, the fleet would refuse
-// everything until they are listed again.
-func TestLapsedUpstreamsAreUsedUntilTheyMustBeBack(t *testing.T) {
+// While the platform is down, entries expire although their upstreams are running. If
+// all of them were removed after the first read that succeeds again, the fleet would
+// refuse every request until they are listed again.
+func TestLapsedUpstreamsAreUsableUntilTheyExpire(t *testing.T) {
 	tr := tracker.New()
 	tr.Put(now, upstream("a"))
 	tr.Put(now, upstream("b"))
@@ -97,28 +97,29 @@
 	assert.DeepEqual(t, ids(tr, now), []string{"b"})
 }
 
-// An upstream that crashed says nothing: only broken connections tell. Tried
-// again by each request, it costs each of them its wait.
-func TestUnreachableUpstreamsRestForLonger(t *testing.T) {
+// A crashed upstream is noticed only by broken connections. If every request tried it
+// again, each of them would have to wait for the failure.
+func TestUnreachableBackoffDoubles(t *testing.T) {
 	tr := tracker.New()
 	tr.Put(now, upstream("a"))
-	rest := func(at time.Time) time.Duration { return tr.Usable(at, "s")[0].UnreachableUntil.Sub(at) }
+	backoff := func(at time.Time) time.Duration { return tr.Usable(at, "s")[0].UnreachableUntil.Sub(at) }
 	tr.ReportFailure(now, "a", true)
-	first := rest(now)
+	first := backoff(now)
 	assert.Assert(t, first > 0)
 	tr.ReportFailure(now, "a", true)
-	assert.Equal(t, rest(now), 2*first)
+	assert.Equal(t, backoff(now), 2*first)
 	for range 20 {
 		tr.ReportFailure(now, "a", true)
 	}
-	assert.Equal(t, rest(now), 4*time.Second)
+	assert.Equal(t, backoff(now), 4*time.Second)
 	tr.ReportAnswer(now, "a")
 	assert.Assert(t, tr.Usable(now, "s")[0].UnreachableUntil.IsZero())
 }
 
-// An upstream that fails a part of its requests while its health check is good
-// shows only by these; once it is well again they must not count for long.
-func TestFailuresAreForgotten(t *testing.T) {
+// An upstream that fails some of its requests while its health check passes is
+// noticed only by those failures. Once it has recovered, they must not count for
+// long.
+func TestFailuresDecay(t *testing.T) {
 	tr := tracker.New()
 	tr.Put(now, upstream("a"))
 	for range 4 {
@@ -129,15 +130,15 @@
 	assert.Assert(t, later > 0.9 && later < 1.1, "%v", later)
 }
 
-// One that starts again under its old name has nothing left of before: neither
-// its failures nor what it held.
-func TestRebornUpstreamIsNew(t *testing.T) {
+// An upstream that restarts under the same ID keeps nothing of its previous state:
+// neither its failures nor its backoff.
+func TestRestartedUpstreamKeepsNoState(t *testing.T) {
 	tr := tracker.New()
 	tr.Put(now, upstream("a"))
 	tr.ReportFailure(now, "a", true)
-	again := upstream("a")
-	again.StartedAt, again.Sequence, again.Cold = 300, 1, 3*time.Second
-	assert.Assert(t, tr.Put(now, again))
+	restarted := upstream("a")
+	restarted.StartedAt, restarted.Sequence, restarted.Cold = 300, 1, 3*time.Second
+	assert.Assert(t, tr.Put(now, restarted))
 	s := tr.Usable(now, "s")[0]
 	assert.Equal(t, s.Outcomes.Failed, 0.0)
 	assert.Assert(t, s.UnreachableUntil.IsZero())
@@ -146,9 +147,9 @@
 	assert.Equal(t, tr.Len(), 0)
 }
 
-// One of the engines that read a prompt together has died. The others still
-// answer their own requests, so that it can be told from them.
-func TestStalledWorkBlamesWhoIsQuiet(t *testing.T) {
+// One of the engines that read a prompt together has crashed. The others still
+// respond to their own requests, which shows that they are not the one.
+func TestStallBlamesInactiveUpstreams(t *testing.T) {
 	tr := tracker.New()
 	for _, id := range []string{"a", "b", "c"} {
 		tr.Put(now, upstream(id))
@@ -161,19 +162,19 @@
 	assert.Equal(t, len(tr.Unreachable(later.Add(time.Second))), 0)
 }
 
-// One VM finds out that an upstream fails at once, has died, is cold or is another
-// process now. Whoever places requests for other VMs must learn it, or each of them
-// finds out anew by a request that fails; and what it learns so it must not tell
-// on, or VMs would keep one another's word alive.
-func TestFindingsReachWhoPlaces(t *testing.T) {
+// One VM finds out that an upstream fails requests, has crashed, is cold or was
+// replaced by another process. VMs that schedule requests for other VMs must be told,
+// or each VM finds out by a failed request of its own. They must not pass it on in
+// turn, or VMs would keep repeating each other's reports.
+func TestFindingsReachOtherVMs(t *testing.T) {
 	asker, leader := tracker.New(), tracker.New()
 	for _, tr := range []*tracker.Tracker{asker, leader} {
 		for _, id := range []string{"a", "b", "c", "d", "e"} {
 			tr.Put(now, upstream(id))
 		}
 	}
-	told := 0
-	leader.SetListener(func(tracker.Event) { told++ })
+	notified := 0
+	leader.SetListener(func(tracker.Event) { notified++ })
 	asker.SetListener(func(e tracker.Event) { leader.MergeEvent(now, e) })
 	asker.ReportFailure(now, "a", false)
 	asker.ReportFailure(now, "b", true)
@@ -188,13 +189,14 @@
 	assert.Assert(t, states["b"].UnreachableUntil.After(now))
 	assert.Equal(t, states["c"].ColdUntil, now.Add(time.Minute))
 	assert.Equal(t, states["e"].Outcomes.Answered, 1.0)
-	assert.Equal(t, len(states), 4, "the one that is another process now")
-	assert.Equal(t, told, 0)
+	assert.Equal(t, len(states), 4, "the replaced upstream is removed")
+	assert.Equal(t, notified, 0)
 }
 
-// Work that needs three engines stands still, and this VM has heard of none of
-// them. Another one has had answers from one, which lives and is not to be blamed.
-func TestAnswersElsewhereAreASignOfLife(t *testing.T) {
+// Work that needs several engines makes no progress, and this VM has heard from none
+// of them. Another VM has had responses from one of them, which is alive and must not
+// be blamed.
+func TestAnswersToOtherVMsCountAsActivity(t *testing.T) {
 	asker, leader := tracker.New(), tracker.New()
 	for _, tr := range []*tracker.Tracker{asker, leader} {
 		tr.Put(now, upstream("a"))
@@ -207,17 +209,17 @@
 	assert.DeepEqual(t, leader.Unreachable(later), []string{"b"})
 }
 
-// Others have read the list much further than this VM, which cannot tell which of
-// its upstreams have left meanwhile. One that was chosen before, or is asked for
-// after a wait, must get nothing until the list has come.
-func TestOutdatedListNamesNoUpstream(t *testing.T) {
-	known := tracker.New()
-	known.Put(now, tracker.Upstream{ID: "a", Service: "s"})
-	assert.Assert(t, known.SetOutdated(true))
-	assert.Assert(t, !known.SetOutdated(true), "that is no news")
-	assert.Assert(t, !known.IsUsable("a"))
-	assert.Equal(t, len(known.Usable(now, "s")), 0)
-	assert.Assert(t, known.SetOutdated(false))
-	assert.Assert(t, known.IsUsable("a"))
-	assert.Equal(t, len(known.Usable(now, "s")), 1)
+// Other VMs have read the list much further than this VM, which cannot tell which of
+// its upstreams have left since. An upstream that was selected before, or that is
+// requested after a wait, must get no work until the list has arrived.
+func TestOutdatedListMakesUpstreamsUnusable(t *testing.T) {
+	tr := tracker.New()
+	tr.Put(now, tracker.Upstream{ID: "a", Service: "s"})
+	assert.Assert(t, tr.SetOutdated(true))
+	assert.Assert(t, !tr.SetOutdated(true), "the state has not changed")
+	assert.Assert(t, !tr.IsUsable("a"))
+	assert.Equal(t, len(tr.Usable(now, "s")), 0)
+	assert.Assert(t, tr.SetOutdated(false))
+	assert.Assert(t, tr.IsUsable("a"))
+	assert.Equal(t, len(tr.Usable(now, "s")), 1)
 }
