--- a/entry/process/replicator/replicator.go
+++ b/entry/process/replicator/replicator.go
@@ -1,11 +1,11 @@
-// Package replicator keeps a copy of keyed records that the platform keeps in
-// order, each with its offset, from whoever brings them: the platform or
-// another VM. It answers a platform that refuses some VMs while it serves the
-// others: a VM that read only for itself would honour a key that was taken away
-// and send to upstreams that have left.
+// Package replicator maintains a copy of keyed records that the platform stores in
+// order, each with an offset. Records may come from the platform or from another VM.
+// This covers a platform that rejects some VMs while it serves others: a VM that
+// could only read for itself would keep accepting a key that was revoked and keep
+// sending requests to upstreams that have left.
 //
-// A record never replaces one with a higher offset, so that it does not matter
-// in which order copies arrive, or how late.
+// A record never replaces one with a higher offset, so copies may arrive in any order
+// and at any delay.
 package replicator
 
 import (
@@ -18,10 +18,10 @@
 // A Record is the newest value of a key.
 type Record struct {
 	Key string `cbor:"1,keyasint"`
-	// Value is empty where the key was dropped.
+	// Value is empty if the key was deleted.
 	Value  []byte `cbor:"2,keyasint,omitempty"`
 	Offset int64  `cbor:"3,keyasint"`
-	// Deleted says that the key has no value any more.
+	// Deleted reports that the key no longer has a value.
 	Deleted bool `cbor:"4,keyasint,omitempty"`
 }
 
@@ -29,96 +29,99 @@
 type Copy struct {
 	mu      sync.Mutex
 	records map[string]Record
-	// end is the offset below which no record is missing here.
+	// end is the offset below which no record is missing from this copy.
 	end int64
-	// floor is the end of the last whole reading. What was dropped before it is
-	// not among the records, so that nobody can go on from below it.
+	// floor is the end of the last snapshot. Records of keys that were deleted before
+	// it are missing here, so an incremental read from below it would be incomplete.
 	floor int64
-	// changes counts what has changed records or the floor.
+	// changes counts the changes to the records and to floor.
 	changes int64
-	// asOf is when the platform last confirmed that end was its own, by this
-	// VM's clock; a peer's confirmation counts from when it was made.
+	// asOf is when the platform last confirmed that end was its own end, by this VM's
+	// clock. For a confirmation that came through a peer it is the time at which the
+	// platform gave it to that peer.
 	asOf time.Time
-	// readAt is the same for confirmations that the platform made to this VM.
+	// readAt is like asOf, but only for confirmations that the platform gave to this
+	// VM.
 	readAt time.Time
-	// silences are the times in which nobody that this VM can hear was
-	// answered by the platform.
+	// silences records the intervals during which the platform answered none of the
+	// VMs that this VM hears from.
 	silences silences
-	changed  func(rs []Record, gap time.Duration)
+	onChange func(rs []Record, gap time.Duration)
 }
 
-// New returns an empty Copy that tells changed of every record it takes, in
-// order and one call at a time, and for how long the platform had answered nobody
-// since the news before them.
-func New(changed func(rs []Record, gap time.Duration)) *Copy {
-	return &Copy{records: make(map[string]Record), changed: changed}
+// New returns an empty Copy that calls onChange with the records it accepts, in order
+// of offset and one call at a time. The argument gap is the longest time for which
+// the platform answered no VM since this copy was last confirmed.
+func New(onChange func(rs []Record, gap time.Duration)) *Copy {
+	return &Copy{records: make(map[string]Record), onChange: onChange}
 }
 
-// Merge takes records in. With them all records below end are here, as it was
-// at the time asOf; end is 0 where that is not known.
+// Merge adds records to the copy. With them the copy contains all records below end
+// as of the time asOf; end is 0 if that is unknown.
 func (c *Copy) Merge(rs []Record, end int64, asOf time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var taken []Record
+	var accepted []Record
 	for _, r := range rs {
 		old, ok := c.records[r.Key]
 		if ok && r.Offset <= old.Offset {
 			continue
 		}
 		c.records[r.Key] = r
-		taken = append(taken, r)
+		accepted = append(accepted, r)
 	}
-	c.silences.heard(asOf)
+	c.silences.recordAnswer(asOf)
 	gap := c.silences.longest(c.asOf)
 	c.end = max(c.end, end)
 	if end >= c.end && asOf.After(c.asOf) {
 		c.asOf = asOf
-		c.silences.forget(asOf)
+		c.silences.discard(asOf)
 	}
-	if len(taken) == 0 {
+	if len(accepted) == 0 {
 		return
 	}
 	c.changes++
-	slices.SortFunc(taken, func(a, b Record) int { return int(a.Offset - b.Offset) })
-	c.changed(taken, gap)
+	slices.SortFunc(accepted, func(a, b Record) int { return int(a.Offset - b.Offset) })
+	c.onChange(accepted, gap)
 }
 
-// RecordAnswer notes that the platform answered some VM at a time. What went from the
-// list since then went while the platform was there, however late this copy
-// learns of it.
+// RecordAnswer records that the platform answered some VM at a given time. A record
+// that was deleted after that time was deleted while the platform was available,
+// however late this copy learns of it.
 func (c *Copy) RecordAnswer(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silences.heard(at)
+	c.silences.recordAnswer(at)
 }
 
-// Lag is by how much this copy is older than the platform's last answer to
-// anybody.
+// Lag returns how much older this copy is than the platform's last answer to any VM.
+// It is 0 for a copy that has never been confirmed.
 func (c *Copy) Lag() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.asOf.IsZero() {
 		return 0
 	}
-	return max(0, c.silences.last.Sub(c.asOf))
+	return max(0, c.silences.lastAnswer.Sub(c.asOf))
 }
 
-// MarkRead notes that the platform confirmed the copy's end to this VM itself.
+// MarkRead records that the platform confirmed the copy's end to this VM.
 func (c *Copy) MarkRead(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readAt = at
 }
 
-// ReadAt is when the platform last confirmed the end to this VM itself; zero
-// where it never did.
+// ReadAt returns when the platform last confirmed the end to this VM, or the zero
+// time if it never has.
 func (c *Copy) ReadAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.readAt
 }
 
-// Confirm notes that the platform went no further than this copy at a time.
+// Confirm records that the platform had no records beyond this copy's end at a given
+// time.
 func (c *Copy) Confirm(asOf time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,65 +130,68 @@
 	}
 }
 
-// MergeSnapshot drops every key that a whole reading of the stream did not bring:
-// the platform may forget a dropped key's record before this VM saw it.
+// MergeSnapshot merges a full read of the stream and deletes every key that it does
+// not contain: the platform may discard the record of a deletion before this VM has
+// seen it.
 func (c *Copy) MergeSnapshot(rs []Record, end int64, asOf time.Time) {
-	whole := slices.Clone(rs)
-	have := make(map[string]bool, len(rs))
+	merged := slices.Clone(rs)
+	present := make(map[string]bool, len(rs))
 	for _, r := range rs {
-		have[r.Key] = true
+		present[r.Key] = true
 	}
 	c.mu.Lock()
 	for key, r := range c.records {
-		// A record at or above end was written after the reading began.
-		if !have[key] && !r.Deleted && r.Offset < end {
-			whole = append(whole, Record{Key: key, Offset: end - 1, Deleted: true})
+		// A record at or above end was written after the read began.
+		if !present[key] && !r.Deleted && r.Offset < end {
+			merged = append(merged, Record{Key: key, Offset: end - 1, Deleted: true})
 		}
 	}
 	c.floor = max(c.floor, end)
 	c.changes++
 	c.mu.Unlock()
-	c.Merge(whole, end, asOf)
+	c.Merge(merged, end, asOf)
 }
 
-// End is the offset below which nothing is missing, and when that was so.
+// End returns the offset below which no record is missing, and the time as of which
+// that held.
 func (c *Copy) End() (end int64, asOf time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.end, c.asOf
 }
 
-// A Page is what one copy gives another.
+// A Page is a set of records that one copy passes to another.
 type Page struct {
 	Records []Record
-	// End is the offset below which nothing is missing, as it was at AsOf.
+	// End is the offset below which no record is missing, as of AsOf.
 	End  int64
 	AsOf time.Time
-	// Snapshot says that these are all keys that have a value, and not only what
-	// changed: whoever takes it must drop the others.
+	// Snapshot reports that Records holds every key that has a value, and not only
+	// the changes. The receiver must then delete all other keys.
 	Snapshot bool
 }
 
-// A State is what a copy holds from an offset on, without the records.
+// A State describes the records of a copy from an offset on, without the records.
 type State struct {
-	// Changes grows whenever the records may be others.
+	// Changes increases whenever the records may have changed.
 	Changes int64
-	// End, AsOf and Whole are those of a Page.
+	// End, AsOf and Snapshot have the same meaning as in Page.
 	End      int64
 	AsOf     time.Time
 	Snapshot bool
 }
 
-// State tells of the records from an offset on.
+// State returns the state of the records from an offset on.
 func (c *Copy) State(from int64) State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return State{Changes: c.changes, End: c.end, AsOf: c.asOf, Snapshot: from < c.floor}
 }
 
-// Since are the records from an offset on. A copy that was read whole after that
-// has never seen what was dropped before, and gives all that it has: one that
-// went on from there would keep an upstream that is long gone.
+// Since returns the records from an offset on. If the copy was filled from a snapshot
+// taken after that offset, it has never seen the deletions before the snapshot, so it
+// returns all its records as a snapshot. A receiver that treated them as incremental
+// would keep an upstream that is long gone.
 func (c *Copy) Since(from int64) Page {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -199,7 +205,7 @@
 	return p
 }
 
-// MergePage takes another copy's page in.
+// MergePage merges a page from another copy.
 func (c *Copy) MergePage(p Page) {
 	if p.Snapshot {
 		c.MergeSnapshot(p.Records, p.End, p.AsOf)
--- a/entry/process/replicator/replicator_test.go
+++ b/entry/process/replicator/replicator_test.go
@@ -12,16 +12,16 @@
 
 var now = time.Unix(1_000_000, 0)
 
-// Records come from the platform and from peers, in any order, twice, and from
-// readings that are seconds old. A VM that took an older one for the newer
-// would honour a key that was taken away.
+// Records arrive from the platform and from peers in any order, more than once, and
+// from reads that are seconds old. A VM that replaced a record with an older one
+// would accept a key that was revoked.
 func TestCopiesNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seen := map[string]int64{}
 		c := replicator.New(func(rs []replicator.Record, _ time.Duration) {
 			for _, r := range rs {
 				if r.Offset <= seen[r.Key] {
-					t.Fatalf("%s went back from %d to %d", r.Key, seen[r.Key], r.Offset)
+					t.Fatalf("%s went back from offset %d to %d", r.Key, seen[r.Key], r.Offset)
 				}
 				seen[r.Key] = r.Offset
 			}
@@ -44,33 +44,33 @@
 		}
 		for key, offset := range newest {
 			if seen[key] != offset {
-				t.Fatalf("%s is at %d and not %d", key, seen[key], offset)
+				t.Fatalf("%s is at offset %d, want %d", key, seen[key], offset)
 			}
 		}
 	})
 }
 
-// The platform forgets its history, and with it that a key was dropped: only the
-// whole list shows it, by what is not there.
-func TestWholeReadingDropsWhatItLacks(t *testing.T) {
-	dropped := map[string]bool{}
+// The platform discards old records, including those of deletions. Only a full read
+// then shows that a key was deleted, because the key is missing from it.
+func TestSnapshotDeletesMissingKeys(t *testing.T) {
+	deleted := map[string]bool{}
 	c := replicator.New(func(rs []replicator.Record, _ time.Duration) {
 		for _, r := range rs {
-			dropped[r.Key] = r.Deleted
+			deleted[r.Key] = r.Deleted
 		}
 	})
 	c.Merge([]replicator.Record{{Key: "a", Offset: 1}, {Key: "b", Offset: 2}}, 3, now)
 	c.Merge([]replicator.Record{{Key: "new", Offset: 12}}, 0, now)
 	c.MergeSnapshot([]replicator.Record{{Key: "b", Offset: 2}}, 10, now)
-	assert.DeepEqual(t, dropped, map[string]bool{"a": true, "b": false, "new": false})
+	assert.DeepEqual(t, deleted, map[string]bool{"a": true, "b": false, "new": false})
 	end, asOf := c.End()
 	assert.Equal(t, end, int64(10))
 	assert.Equal(t, asOf, now)
 }
 
-// A peer gets what it lacks and the age of it, so that what goes from VM to VM
-// does not seem fresher each time.
-func TestSinceGivesWhatAPeerLacks(t *testing.T) {
+// A peer gets the records it lacks together with their age, so that records passed
+// from VM to VM do not appear fresher each time.
+func TestSinceReturnsRecordsFromOffset(t *testing.T) {
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
 	c.Merge([]replicator.Record{{Key: "a", Offset: 1}, {Key: "b", Offset: 5}}, 6, now)
 	p := c.Since(2)
@@ -81,13 +81,13 @@
 	assert.Assert(t, !p.Snapshot)
 	c.Merge(nil, 4, now.Add(time.Second))
 	_, asOf := c.End()
-	assert.Equal(t, asOf, now, "an older end confirms nothing")
+	assert.Equal(t, asOf, now, "an older end is no confirmation")
 }
 
-// What went while nobody could read was not seen to go. Whoever decides by it
-// must know how long that was; a record that comes a moment after the first
-// reading is ordinary news again.
-func TestGapIsTheTimeWithoutNews(t *testing.T) {
+// A record that was deleted while no VM could read the platform was not seen to go.
+// Its consumer must know how long that interval was. A record that arrives soon after
+// the first read is an ordinary update again.
+func TestGapIsTheTimeWithoutAnswers(t *testing.T) {
 	var gaps []time.Duration
 	c := replicator.New(func(_ []replicator.Record, gap time.Duration) { gaps = append(gaps, gap) })
 	c.Merge([]replicator.Record{{Key: "a", Offset: 1}}, 2, now)
@@ -97,14 +97,14 @@
 	assert.DeepEqual(t, gaps, []time.Duration{0, 5 * time.Second, time.Second})
 }
 
-// A VM has just started and read all keys that there are. It never saw the entry
-// that was dropped a moment before; a peer that went on from what it gives would
-// send to an upstream that is gone.
-func TestNewCopyTellsOthersWhatIsGone(t *testing.T) {
-	dropped := map[string]bool{}
+// A VM that has just started has read all existing keys, but has never seen the entry
+// that was deleted a moment before. A peer that merged its records incrementally
+// would keep sending requests to an upstream that is gone.
+func TestNewCopyReturnsSnapshots(t *testing.T) {
+	deleted := map[string]bool{}
 	old := replicator.New(func(rs []replicator.Record, _ time.Duration) {
 		for _, r := range rs {
-			dropped[r.Key] = r.Deleted
+			deleted[r.Key] = r.Deleted
 		}
 	})
 	old.MergeSnapshot([]replicator.Record{{Key: "a", Offset: 1}, {Key: "gone", Offset: 2}}, 3, now)
@@ -113,15 +113,15 @@
 	page := fresh.Since(3)
 	assert.Assert(t, page.Snapshot)
 	old.MergePage(page)
-	assert.DeepEqual(t, dropped, map[string]bool{"a": false, "gone": true})
+	assert.DeepEqual(t, deleted, map[string]bool{"a": false, "gone": true})
 	end, _ := old.End()
 	assert.Equal(t, end, int64(4))
 	old.Merge([]replicator.Record{{Key: "b", Offset: 4}}, 5, now.Add(2*time.Second))
-	assert.Assert(t, !old.Since(4).Snapshot, "from there on nothing is missing")
+	assert.Assert(t, !old.Since(4).Snapshot, "nothing is missing from this offset on")
 }
 
-// Copies that read the platform, read each other, start anew and fall behind, in
-// any order, hold what the platform holds once they have come to its end.
+// Copies that read the platform, read each other, restart and fall behind, in any
+// order, hold the platform's records once they have reached its end.
 func TestCopiesThatReadEachOtherAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []replicator.Record
--- a/entry/process/replicator/silence.go
+++ b/entry/process/replicator/silence.go
@@ -3,39 +3,40 @@
 import "time"
 
 const (
-	// shortSilence is the time between two answers of the platform that is none
-	// worth keeping: VMs tell of them every quarter of a second.
-	shortSilence = 300 * time.Millisecond
-	// mostSilences bounds how many are kept.
-	mostSilences = 64
+	// minSilence is the shortest interval between two answers of the platform that is
+	// recorded. VMs report such answers every quarter of a second.
+	minSilence = 300 * time.Millisecond
+	// maxSilences bounds the number of recorded intervals.
+	maxSilences = 64
 )
 
-// silences are the times in which the platform answered nobody. A VM whose own
-// news come late, over a full link or from a busy peer, must not take that for an
-// outage of the platform: it would use upstreams on that have said that they
-// leave, in the belief that their entries only lapsed.
+// silences records the intervals during which the platform answered no VM. A VM whose
+// own records arrive late, over a congested link or from a busy peer, must not
+// mistake that delay for an outage of the platform: it would assume that the entries
+// of upstreams which have left only expired, and would keep using those upstreams.
 type silences struct {
-	last time.Time
-	past []silence
+	lastAnswer time.Time
+	intervals  []silence
 }
 
 type silence struct{ from, to time.Time }
 
-// heard notes an answer of the platform.
-func (s *silences) heard(at time.Time) {
-	if !at.After(s.last) {
+// recordAnswer records an answer of the platform.
+func (s *silences) recordAnswer(at time.Time) {
+	if !at.After(s.lastAnswer) {
 		return
 	}
-	if !s.last.IsZero() && at.Sub(s.last) > shortSilence && len(s.past) < mostSilences {
-		s.past = append(s.past, silence{s.last, at})
+	if !s.lastAnswer.IsZero() && at.Sub(s.lastAnswer) > minSilence && len(s.intervals) < maxSilences {
+		s.intervals = append(s.intervals, silence{s.lastAnswer, at})
 	}
-	s.last = at
+	s.lastAnswer = at
 }
 
-// longest is the longest of them after a time.
+// longest returns the length of the longest interval, counting only the part after a
+// given time.
 func (s *silences) longest(since time.Time) time.Duration {
 	longest := time.Duration(0)
-	for _, p := range s.past {
+	for _, p := range s.intervals {
 		from := p.from
 		if from.Before(since) {
 			from = since
@@ -45,13 +46,13 @@
 	return longest
 }
 
-// forget drops those that ended before a time.
-func (s *silences) forget(until time.Time) {
-	kept := s.past[:0]
-	for _, p := range s.past {
+// discard removes the intervals that ended by a given time.
+func (s *silences) discard(until time.Time) {
+	kept := s.intervals[:0]
+	for _, p := range s.intervals {
 		if p.to.After(until) {
 			kept = append(kept, p)
 		}
 	}
-	s.past = kept
+	s.intervals = kept
 }
--- a/entry/process/replicator/silence_test.go
+++ b/entry/process/replicator/silence_test.go
@@ -9,11 +9,12 @@
 	"github.com/heathervane/heathervane/entry/process/replicator"
 )
 
-// A VM over a full link gets its peer's records two seconds late, while the
-// platform has answered others all the time. An upstream whose entry went
-// meanwhile has left; taken for one that lapsed in an outage it was sent work
-// for almost two seconds more, 3.3 s after it had said that it leaves.
-func TestLateNewsAreNoSilenceOfThePlatform(t *testing.T) {
+// A VM on a congested link gets its peer's records two seconds late, while the
+// platform keeps answering other VMs. An upstream whose entry was deleted in that
+// time has left. A VM that took the entry for one that expired in an outage sent the
+// upstream work for almost two more seconds, until 3.3 s after it had announced that
+// it was leaving.
+func TestLateRecordsAreNotAnOutage(t *testing.T) {
 	var gaps []time.Duration
 	c := replicator.New(func(_ []replicator.Record, gap time.Duration) { gaps = append(gaps, gap) })
 	c.Merge([]replicator.Record{{Key: "a", Offset: 1}}, 2, now)
@@ -24,10 +25,10 @@
 	assert.DeepEqual(t, gaps, []time.Duration{0, 0})
 }
 
-// The platform answers nobody for four seconds. Word of its return comes from a
-// peer before the records do, which must not hide the outage; once the records
-// have come, what goes is news again.
-func TestOutageIsKnownUntilItsRecordsCome(t *testing.T) {
+// The platform answers no VM for four seconds. The report that it is back arrives
+// from a peer before the records do and must not hide the outage. Once the records
+// have arrived, deletions are ordinary updates again.
+func TestOutageIsReportedWithItsRecords(t *testing.T) {
 	var gaps []time.Duration
 	c := replicator.New(func(_ []replicator.Record, gap time.Duration) { gaps = append(gaps, gap) })
 	c.Merge([]replicator.Record{{Key: "a", Offset: 1}}, 2, now)
@@ -39,12 +40,12 @@
 	assert.DeepEqual(t, gaps, []time.Duration{0, 4 * time.Second, 0})
 }
 
-// A copy is behind by what the platform has told others since, and not by the
-// time for which it has told nobody anything.
-func TestCopyIsBehindWhatOthersWereTold(t *testing.T) {
+// A copy's lag counts what the platform has since told other VMs, and not the time
+// during which it answered no VM.
+func TestLagIsMeasuredFromAnswersToOtherVMs(t *testing.T) {
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
 	c.RecordAnswer(now)
-	assert.Equal(t, c.Lag(), time.Duration(0), "a copy that has read nothing names no upstream")
+	assert.Equal(t, c.Lag(), time.Duration(0), "an empty copy has no lag")
 	c.Merge([]replicator.Record{{Key: "a", Offset: 1}}, 2, now)
 	assert.Equal(t, c.Lag(), time.Duration(0))
 	c.RecordAnswer(now.Add(2 * time.Second))
