--- a/entry/process/syncer/syncer.go
+++ b/entry/process/syncer/syncer.go
@@ -1,7 +1,7 @@
-// Package syncer keeps this VM's copies of the platform's records fresh: it
-// reads the platform, and where that fails or falls behind, a peer that has
-// read further. It answers a platform that is down, slow, silent, or turns away
-// this VM only. Without the second way such a VM would go on with what it knew
+// Package syncer keeps this VM's copies of the platform's records up to date. It
+// reads from the platform and, when that fails or falls behind, from a peer that has
+// read further. This covers a platform that is down, slow or unresponsive, or that
+// rejects only this VM. Without the second source such a VM would keep its old state
 // while the others follow a newer configuration.
 package syncer
 
@@ -19,247 +19,253 @@
 	"github.com/heathervane/heathervane/entry/process/replicator"
 )
 
-// ErrNotRetained says that the platform no longer keeps the records asked for:
-// the stream has to be read whole again.
-var ErrNotRetained = errors.New("the records are no longer kept")
+// ErrNotRetained reports that the platform no longer keeps the requested records, so
+// the stream has to be read in full again.
+var ErrNotRetained = errors.New("the requested records are no longer retained")
 
 const (
-	// tryAgain is the wait after a failed reading, and mostWait its bound as
-	// it doubles.
-	tryAgain = 200 * time.Millisecond
-	mostWait = 800 * time.Millisecond
-	// spare is how much longer than it was asked to wait a reading may take
-	// before its connection counts as silent.
-	spare = 900 * time.Millisecond
-	// wholeTime bounds a reading of all keys.
-	wholeTime = 4 * time.Second
-	// peerEvery is how often peers are asked whether they have read further,
-	// and peerTime bounds the reading from one.
-	peerEvery = 150 * time.Millisecond
-	peerTime  = time.Second
-	// startEvery is how often a VM that knows nothing yet looks whether it has to
-	// read, greeting how long it waits for the word of those that live, and
-	// startWait how long for their records.
-	startEvery = 5 * time.Millisecond
-	greeting   = 15 * time.Millisecond
-	startWait  = 250 * time.Millisecond
-	// outage is after how long without a reading the platform counts as lost.
-	outage = 1500 * time.Millisecond
-	// failing is for how long a reading that failed counts.
-	failing = 2500 * time.Millisecond
-	// followSpare is how much older than stale the copy of a VM that follows may
-	// be while the platform answers others: what they read does not come here.
-	followSpare = 400 * time.Millisecond
+	// minBackoff is the wait after a failed read. It doubles with each further
+	// failure, up to maxBackoff.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
+	// readGrace is how much longer than the requested wait a read may take before it
+	// times out.
+	readGrace = 900 * time.Millisecond
+	// snapshotTimeout bounds a read of all keys.
+	snapshotTimeout = 4 * time.Second
+	// peerInterval is how often this VM checks whether a peer has read further, and
+	// peerTimeout bounds a read from a peer.
+	peerInterval = 150 * time.Millisecond
+	peerTimeout  = time.Second
+	// startInterval is how often a VM without records checks whether it has to read,
+	// peerDiscoveryWait how long it waits to hear from running peers, and
+	// peerRecordsWait how long it waits for their records.
+	startInterval     = 5 * time.Millisecond
+	peerDiscoveryWait = 15 * time.Millisecond
+	peerRecordsWait   = 250 * time.Millisecond
+	// outageThreshold is the time without a successful read after which the platform
+	// is reported as unavailable.
+	outageThreshold = 1500 * time.Millisecond
+	// failureWindow is how long a failed read counts as recent.
+	failureWindow = 2500 * time.Millisecond
+	// followerGrace is how far beyond StaleAfter the copy of a follower may age
+	// before it reads for itself while the platform answers other VMs, whose records
+	// do not reach it.
+	followerGrace = 400 * time.Millisecond
 )
 
 // A Source is the platform.
 type Source interface {
-	// Newest gives the newest record of each key, and an offset below which
-	// nothing is missing in them.
+	// Newest returns the newest record of each key, and an offset below which the
+	// result is complete.
 	Newest(ctx context.Context, stream string) (rs []replicator.Record, end int64, err error)
-	// Read gives the records from an offset on, after at most wait where there
-	// are none.
+	// Read returns the records from an offset on. If there are none it waits for at
+	// most the given time.
 	Read(ctx context.Context, stream string, from int64, wait time.Duration) (rs []replicator.Record, end int64, err error)
 }
 
 // Peers are the other VMs.
 type Peers interface {
-	// Duty is whether this VM reads the platform for others, and ReadsAtStart whether it
-	// does where it has just started and nobody that it hears will.
+	// Duty returns whether this VM reads the platform for others. ReadsAtStart
+	// reports whether it does so right after its start if no VM that it hears from
+	// will.
 	Duty() gossiper.Duty
 	ReadsAtStart() bool
-	// Publish tells the other VMs at once how far this one has read.
+	// Publish tells the other VMs immediately how far this one has read.
 	Publish()
-	// Answered is when the platform last confirmed any offset of a stream to a
-	// VM that can be heard.
+	// Answered returns when the platform last confirmed any offset of a stream to a
+	// VM that this one hears from.
 	Answered(stream string) time.Time
-	// Confirmed is when a VM was last told that a stream went no further than
-	// an offset; zero where none was.
+	// Confirmed returns when a VM was last told that a stream has no records beyond
+	// an offset, or the zero time if none was.
 	Confirmed(stream string, offset int64) time.Time
-	// Ahead names one that has read further.
+	// Ahead returns the address of a VM that has read further than an offset.
 	Ahead(stream string, than int64) (netip.AddrPort, bool)
-	// Fetch gets its records from an offset on.
+	// Fetch returns another VM's records from an offset on.
 	Fetch(ctx context.Context, from netip.AddrPort, stream string, offset int64) (replicator.Page, error)
 }
 
-// A Stream says how one stream of records is read.
+// A Stream configures how one stream of records is read.
 type Stream struct {
 	Name string
 	Copy *replicator.Copy
-	// Wait is how long the platform holds a reading that has nothing new, and
-	// Interval how long after a reading the next one begins.
+	// Wait is how long the platform holds a read that has no new records. Interval is
+	// the pause between the end of a read and the start of the next.
 	Wait, Interval time.Duration
-	// StaleAfter is how old a copy may be before this VM looks for another way: one
-	// that reads asks a peer, one for which another reads does so itself.
+	// StaleAfter is how old a copy may be before this VM uses another source: a VM
+	// that reads the platform asks a peer, and one that relies on another VM reads
+	// the platform itself.
 	StaleAfter time.Duration
-	// MaxLag is how long a peer may be ahead before it is asked, also while the
-	// copy is not stale: a long reading that the platform forgets to answer looks
-	// like one that has nothing new. Zero where only age counts.
+	// MaxLag is how long a peer may be ahead before it is asked even though the copy
+	// is not stale: a long poll that the platform fails to answer looks like one
+	// without new records. If it is zero, only the age of the copy counts.
 	MaxLag time.Duration
-	// Shared says that one VM of a zone reads for the others, which take what
-	// it has as soon as it says that there is more.
+	// Shared reports that one VM of a zone reads for the others, which fetch its
+	// records as soon as it announces new ones.
 	Shared bool
 }
 
-// A Syncer keeps one stream.
+// A Syncer keeps the copy of one stream up to date.
 type Syncer struct {
-	stream Stream
-	source Source
-	peers  Peers
-	now    func() time.Time
-	log    zerolog.Logger
-	lost   bool
-	began  time.Time
-	// ran is when Run began; only Run uses it.
-	ran time.Time
-	// woken says that a VM has read on.
-	woken chan struct{}
-	// failed is when a reading last failed, in Unix milliseconds; 0 since one
-	// that did not.
-	failed atomic.Int64
+	stream       Stream
+	source       Source
+	peers        Peers
+	now          func() time.Time
+	log          zerolog.Logger
+	platformDown bool
+	createdAt    time.Time
+	// runStartedAt is when Run began. Only Run uses it.
+	runStartedAt time.Time
+	// wake receives a value when another VM has read further.
+	wake chan struct{}
+	// failedAt is when the last read failed, in Unix milliseconds; 0 if it succeeded.
+	failedAt atomic.Int64
 }
 
-// New returns a Syncer of one stream.
+// New returns a Syncer for one stream.
 func New(s Stream, source Source, p Peers, now func() time.Time, log zerolog.Logger) *Syncer {
 	return &Syncer{
-		stream: s, source: source, peers: p, now: now, began: now(), woken: make(chan struct{}, 1),
+		stream: s, source: source, peers: p, now: now, createdAt: now(), wake: make(chan struct{}, 1),
 		log: log.With().Str("stream", s.Name).Logger(),
 	}
 }
 
-// Run reads the platform until the context ends.
+// Run reads from the platform until the context ends.
 func (s *Syncer) Run(ctx context.Context) {
-	wait := tryAgain
-	read := s.now()
-	s.ran = read
-	// whole is set where the platform has forgotten what this VM has not read.
-	whole := false
+	backoff := minBackoff
+	lastRead := s.now()
+	s.runStartedAt = lastRead
+	// needSnapshot is set if the platform no longer keeps the records that this VM
+	// has not read.
+	needSnapshot := false
 	for ctx.Err() == nil {
-		if !s.due() {
-			read = s.now()
-			pause(ctx, s.pollEvery())
+		if !s.shouldRead() {
+			lastRead = s.now()
+			sleep(ctx, s.pollInterval())
 			continue
 		}
-		first := !s.known()
-		err := s.read(ctx, whole || !s.whole())
+		first := !s.hasRecords()
+		err := s.read(ctx, needSnapshot || !s.hasSnapshot())
 		now := s.now()
-		s.failed.Store(0)
+		s.failedAt.Store(0)
 		if err != nil && !errors.Is(err, ErrNotRetained) {
-			s.failed.Store(now.UnixMilli())
+			s.failedAt.Store(now.UnixMilli())
 		}
 		switch {
 		case err == nil:
-			if s.lost {
-				s.lost = false
-				s.log.Info().Dur("away", now.Sub(read)).Msg("platform answers again")
+			if s.platformDown {
+				s.platformDown = false
+				s.log.Info().Dur("away", now.Sub(lastRead)).Msg("platform is available again")
 			}
-			whole, wait, read = false, tryAgain, now
-			if first && s.known() && s.stream.Shared {
+			needSnapshot, backoff, lastRead = false, minBackoff, now
+			if first && s.hasRecords() && s.stream.Shared {
 				s.peers.Publish()
 			}
-			pause(ctx, s.stream.Interval)
+			sleep(ctx, s.stream.Interval)
 			continue
 		case errors.Is(err, ErrNotRetained):
-			s.log.Info().Msg("records forgotten by the platform, reading all")
-			whole = true
+			s.log.Info().Msg("platform no longer keeps the next records, reading the stream in full")
+			needSnapshot = true
 			continue
 		}
-		if !s.lost && ctx.Err() == nil && now.Sub(read) > outage {
-			s.lost = true
-			s.log.Warn().Err(err).Dur("since", now.Sub(read)).Msg("platform does not answer")
+		if !s.platformDown && ctx.Err() == nil && now.Sub(lastRead) > outageThreshold {
+			s.platformDown = true
+			s.log.Warn().Err(err).Dur("since", now.Sub(lastRead)).Msg("platform is unavailable")
 		}
-		// VMs that failed together must not try again together.
-		pause(ctx, wait*3/4+rand.N(wait/2))
-		wait = min(mostWait, 2*wait)
+		// The jitter keeps VMs that failed together from retrying together.
+		sleep(ctx, backoff*3/4+rand.N(backoff/2))
+		backoff = min(maxBackoff, 2*backoff)
 	}
 }
 
-// Failing says that the last reading of the platform failed, a moment ago. A VM
-// that the platform turns away must not go on reading for its zone.
+// Failing reports whether the last read of the platform failed recently. A VM that
+// the platform rejects must not remain the one that reads for its zone.
 func (s *Syncer) Failing() bool {
-	at := s.failed.Load()
-	return at != 0 && s.now().Sub(time.UnixMilli(at)) < failing
+	at := s.failedAt.Load()
+	return at != 0 && s.now().Sub(time.UnixMilli(at)) < failureWindow
 }
 
-// Stream is the name of the stream.
+// Stream returns the name of the stream.
 func (s *Syncer) Stream() string { return s.stream.Name }
 
-// Wake has peers asked at once where this VM knows nothing yet. Until it knows the
-// configuration and the list it serves nobody.
+// Wake makes RunPeers ask peers immediately if this VM has no records yet. A VM
+// serves no requests until it knows the configuration and the list of upstreams.
 func (s *Syncer) Wake() {
 	select {
-	case s.woken <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// pollEvery is how often it is looked at whether there is something to read.
-func (s *Syncer) pollEvery() time.Duration {
-	if s.known() {
-		return peerEvery
+// pollInterval returns how often Run checks whether it has to read.
+func (s *Syncer) pollInterval() time.Duration {
+	if s.hasRecords() {
+		return peerInterval
 	}
-	return startEvery
+	return startInterval
 }
 
-// starts says whether a VM that knows nothing yet reads the platform. It first
-// gives those that live the time to say that they have what it needs: each VM that
-// starts would else make its own calls.
-func (s *Syncer) starts() bool {
-	old := s.now().Sub(s.ran)
-	if _, ahead := s.peers.Ahead(s.stream.Name, 0); ahead && old < startWait {
+// shouldStart reports whether a VM without records reads the platform. It first gives
+// running peers time to announce that they have the records; otherwise each VM that
+// starts would make its own calls.
+func (s *Syncer) shouldStart() bool {
+	elapsed := s.now().Sub(s.runStartedAt)
+	if _, ahead := s.peers.Ahead(s.stream.Name, 0); ahead && elapsed < peerRecordsWait {
 		return false
 	}
-	return old >= startWait || (old >= greeting && s.peers.ReadsAtStart())
+	return elapsed >= peerRecordsWait || (elapsed >= peerDiscoveryWait && s.peers.ReadsAtStart())
 }
 
-// due says that this VM has to read the platform. Each reading is paid for, and the
-// platform bears only so many, so that one VM of a zone reads for the others. Where
-// it has nothing fresh, few others try; the rest do only where the platform is
-// known to answer others, whose news do not come here.
-func (s *Syncer) due() bool {
+// shouldRead reports whether this VM has to read the platform. Each read is paid for
+// and the platform handles a limited number, so one VM of a zone reads for the
+// others. If that VM has no fresh records, the few standbys read as well. The rest do
+// so only if the platform is known to answer other VMs whose records do not reach
+// this one.
+func (s *Syncer) shouldRead() bool {
 	if !s.stream.Shared {
 		return true
 	}
 	end, asOf := s.stream.Copy.End()
-	if end == 0 && s.failed.Load() == 0 {
-		return s.starts()
+	if end == 0 && s.failedAt.Load() == 0 {
+		return s.shouldStart()
 	}
 	if asOf.IsZero() {
-		asOf = s.began
+		asOf = s.createdAt
 	}
-	old := s.now().Sub(asOf) - s.stream.StaleAfter
+	overdue := s.now().Sub(asOf) - s.stream.StaleAfter
 	switch s.peers.Duty() {
 	case gossiper.Reads:
 		return true
 	case gossiper.StandsBy:
-		return old >= 0
+		return overdue >= 0
 	case gossiper.Follows:
 	}
 	answered := s.now().Sub(s.peers.Answered(s.stream.Name)) < s.stream.StaleAfter
-	return old >= followSpare && (answered || end == 0)
+	return overdue >= followerGrace && (answered || end == 0)
 }
 
-// known says that there is something here that others may have more of.
-func (s *Syncer) known() bool {
+// hasRecords reports whether this VM has read any records, so that peers may have
+// newer ones.
+func (s *Syncer) hasRecords() bool {
 	end, _ := s.stream.Copy.End()
 	return end > 0
 }
 
-// whole says that the stream has been read whole, so that a reading may go on from
-// its end. A platform that has no record yet is not asked for all of them again and
-// again.
-func (s *Syncer) whole() bool {
+// hasSnapshot reports whether the stream has been read in full, so that reads may
+// continue from its end. This avoids repeated full reads of a stream that is still
+// empty.
+func (s *Syncer) hasSnapshot() bool {
 	_, asOf := s.stream.Copy.End()
 	return !asOf.IsZero()
 }
 
-func (s *Syncer) read(ctx context.Context, whole bool) error {
+func (s *Syncer) read(ctx context.Context, full bool) error {
 	from, _ := s.stream.Copy.End()
 	asOf := s.now()
-	if whole {
-		short, cancel := context.WithTimeout(ctx, wholeTime)
+	if full {
+		readCtx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 		defer cancel()
-		rs, end, err := s.source.Newest(short, s.stream.Name)
+		rs, end, err := s.source.Newest(readCtx, s.stream.Name)
 		if err != nil {
 			return err
 		}
@@ -267,9 +273,9 @@
 		s.stream.Copy.MarkRead(asOf)
 		return nil
 	}
-	short, cancel := context.WithTimeout(ctx, s.stream.Wait+spare)
+	readCtx, cancel := context.WithTimeout(ctx, s.stream.Wait+readGrace)
 	defer cancel()
-	rs, end, err := s.source.Read(short, s.stream.Name, from, s.stream.Wait)
+	rs, end, err := s.source.Read(readCtx, s.stream.Name, from, s.stream.Wait)
 	if err != nil {
 		return err
 	}
@@ -279,44 +285,45 @@
 	return nil
 }
 
-// RunPeers reads from peers what the platform did not bring, until the context
+// RunPeers reads from peers what the platform did not deliver, until the context
 // ends.
 func (s *Syncer) RunPeers(ctx context.Context) {
-	var behind time.Time
+	var behindSince time.Time
 	for ctx.Err() == nil {
-		s.pausePeers(ctx)
+		s.waitForPeerPoll(ctx)
 		end, asOf := s.stream.Copy.End()
 		if confirmed := s.peers.Confirmed(s.stream.Name, end); confirmed.After(asOf) {
 			s.stream.Copy.Confirm(confirmed)
 		}
 		from, ok := s.peers.Ahead(s.stream.Name, end)
 		if !ok {
-			behind = time.Time{}
+			behindSince = time.Time{}
 			continue
 		}
-		if behind.IsZero() {
-			behind = s.now()
+		if behindSince.IsZero() {
+			behindSince = s.now()
 		}
-		overdue := s.stream.MaxLag > 0 && s.now().Sub(behind) >= s.stream.MaxLag
-		if end > 0 && s.now().Sub(asOf) < s.stream.StaleAfter && s.due() && !overdue {
+		overdue := s.stream.MaxLag > 0 && s.now().Sub(behindSince) >= s.stream.MaxLag
+		if end > 0 && s.now().Sub(asOf) < s.stream.StaleAfter && s.shouldRead() && !overdue {
 			continue
 		}
-		short, cancel := context.WithTimeout(ctx, peerTime)
-		p, err := s.peers.Fetch(short, from, s.stream.Name, end)
+		fetchCtx, cancel := context.WithTimeout(ctx, peerTimeout)
+		page, err := s.peers.Fetch(fetchCtx, from, s.stream.Name, end)
 		cancel()
 		if err != nil {
-			s.log.Info().Err(err).Str("peer", from.String()).Msg("records not read from a peer")
+			s.log.Info().Err(err).Str("peer", from.String()).Msg("could not fetch records from a peer")
 			continue
 		}
-		s.log.Debug().Str("peer", from.String()).Int("records", len(p.Records)).Int64("end", p.End).
-			Bool("whole", p.Snapshot).Dur("age", s.now().Sub(p.AsOf)).Msg("records read from a peer")
-		s.stream.Copy.MergePage(p)
+		s.log.Debug().Str("peer", from.String()).Int("records", len(page.Records)).Int64("end", page.End).
+			Bool("whole", page.Snapshot).Dur("age", s.now().Sub(page.AsOf)).Msg("fetched records from a peer")
+		s.stream.Copy.MergePage(page)
 	}
 }
 
-// pausePeers waits until peers are asked again. A VM that knows nothing is woken.
-func (s *Syncer) pausePeers(ctx context.Context) {
-	t := time.NewTimer(peerEvery)
+// waitForPeerPoll waits until peers are to be asked again. Wake ends the wait if this
+// VM has no records yet.
+func (s *Syncer) waitForPeerPoll(ctx context.Context) {
+	t := time.NewTimer(peerInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -324,15 +331,15 @@
 			return
 		case <-t.C:
 			return
-		case <-s.woken:
-			if !s.known() {
+		case <-s.wake:
+			if !s.hasRecords() {
 				return
 			}
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/entry/process/syncer/syncer_test.go
+++ b/entry/process/syncer/syncer_test.go
@@ -20,14 +20,14 @@
 
 var errDown = errors.New("down")
 
-// A platform keeps records and can be down, or have forgotten.
+// A platform stores records. It can be down, or have discarded old records.
 type platform struct {
-	mu      sync.Mutex
-	records []replicator.Record
-	down    bool
-	forgot  bool
-	wholes  int
-	reads   int
+	mu        sync.Mutex
+	records   []replicator.Record
+	down      bool
+	truncated bool
+	snapshots int
+	reads     int
 }
 
 func (p *platform) Newest(context.Context, string) ([]replicator.Record, int64, error) {
@@ -36,8 +36,8 @@
 	if p.down {
 		return nil, 0, errDown
 	}
-	p.forgot = false
-	p.wholes++
+	p.truncated = false
+	p.snapshots++
 	return p.records, int64(len(p.records)), nil
 }
 
@@ -48,7 +48,7 @@
 	switch {
 	case p.down:
 		return nil, 0, errDown
-	case p.forgot:
+	case p.truncated:
 		return nil, 0, syncer.ErrNotRetained
 	}
 	return p.records[from:], int64(len(p.records)), nil
@@ -60,23 +60,23 @@
 	change()
 }
 
-// peers have one VM that has read further.
+// peers simulates one VM that has read further.
 type peers struct {
 	records []replicator.Record
-	// serves says that they read for this VM, confirm what it has and give what they
-	// have; nil where they only give it.
-	serves *atomic.Bool
-	// duty is this VM's while they do; stale says that they confirm nothing, and
-	// answered when the platform last answered one of them.
+	// serving reports that the peers read for this VM, confirm what it has and pass
+	// on their records. If it is nil they only pass on their records.
+	serving *atomic.Bool
+	// duty is this VM's duty while the peers serve. stale reports that they confirm
+	// nothing. answered is when the platform last answered one of them.
 	duty     gossiper.Duty
 	stale    bool
 	answered time.Time
-	// told counts how often this VM told them how far it has read.
-	told *atomic.Int32
+	// published counts the calls of Publish.
+	published *atomic.Int32
 }
 
 func (p peers) Duty() gossiper.Duty {
-	if p.serves == nil || !p.serves.Load() {
+	if p.serving == nil || !p.serving.Load() {
 		return gossiper.Reads
 	}
 	return p.duty
@@ -85,8 +85,8 @@
 func (p peers) ReadsAtStart() bool { return p.Duty() == gossiper.Reads }
 
 func (p peers) Publish() {
-	if p.told != nil {
-		p.told.Add(1)
+	if p.published != nil {
+		p.published.Add(1)
 	}
 }
 
@@ -100,7 +100,7 @@
 func (p peers) Answered(string) time.Time { return p.answered }
 
 func (p peers) Ahead(_ string, than int64) (netip.AddrPort, bool) {
-	return netip.AddrPort{}, int64(len(p.records)) > than && (p.serves == nil || p.serves.Load())
+	return netip.AddrPort{}, int64(len(p.records)) > than && (p.serving == nil || p.serving.Load())
 }
 
 func (p peers) Fetch(_ context.Context, _ netip.AddrPort, _ string, from int64) (replicator.Page, error) {
@@ -132,75 +132,75 @@
 	return c
 }
 
-func reaches(t *testing.T, c *replicator.Copy, end int64) {
+func waitForEnd(t *testing.T, c *replicator.Copy, end int64) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if at, _ := c.End(); at == end {
 			return poll.Success()
 		}
-		return poll.Continue("not there")
+		return poll.Continue("the copy has not reached the end")
 	}, poll.WithTimeout(20*time.Second))
 }
 
-func TestReadsAllAndThenOn(t *testing.T) {
+func TestReadsSnapshotThenNewRecords(t *testing.T) {
 	p := &platform{records: []replicator.Record{record("a", 0)}}
 	c := start(t, p, peers{})
-	reaches(t, c, 1)
+	waitForEnd(t, c, 1)
 	p.set(func() { p.records = append(p.records, record("b", 1)) })
-	reaches(t, c, 2)
+	waitForEnd(t, c, 2)
 }
 
-// The platform drops its history: what comes after cannot be read from where
-// this VM stood, and a VM that went on asking would learn nothing more.
-func TestForgottenHistoryIsReadWhole(t *testing.T) {
+// The platform discards its history, so the newer records cannot be read from this
+// VM's offset. A VM that kept asking for them would learn nothing more.
+func TestDiscardedHistoryIsReadInFull(t *testing.T) {
 	p := &platform{records: []replicator.Record{record("a", 0)}}
 	c := start(t, p, peers{})
-	reaches(t, c, 1)
+	waitForEnd(t, c, 1)
 	p.set(func() {
-		p.forgot = true
+		p.truncated = true
 		p.records = append(p.records, record("b", 1), record("c", 2))
 	})
-	reaches(t, c, 3)
-	p.set(func() { assert.Equal(t, p.wholes, 2) })
+	waitForEnd(t, c, 3)
+	p.set(func() { assert.Equal(t, p.snapshots, 2) })
 }
 
-// The platform turns this VM away and serves the others. What they have read
-// must get here: a key that was taken away opens nothing.
-func TestPeersBringWhatThePlatformDoesNot(t *testing.T) {
+// The platform rejects this VM and serves the others. Their records must still reach
+// this VM, so that it stops accepting a revoked key.
+func TestPeersReplaceAnUnavailablePlatform(t *testing.T) {
 	p := &platform{down: true}
 	c := start(t, p, peers{records: []replicator.Record{record("a", 0), record("b", 1)}})
-	reaches(t, c, 2)
+	waitForEnd(t, c, 2)
 	_, asOf := c.End()
-	assert.Assert(t, time.Since(asOf) >= 30*time.Millisecond, "it is as old as the peer's reading")
+	assert.Assert(t, time.Since(asOf) >= 30*time.Millisecond, "the age is that of the peer's read")
 }
 
-// Another VM reads for this one. It makes no call of its own; when that VM falls
-// silent, it reads again before what it knows is too old.
-func TestServedVMReadsOnlyWhenNewsStop(t *testing.T) {
-	serves := &atomic.Bool{}
+// Another VM reads for this one, which makes no calls of its own. When that VM stops
+// responding, this one reads again before its records are too old.
+func TestFollowerReadsOnlyWhenReaderStops(t *testing.T) {
+	serving := &atomic.Bool{}
 	p := &platform{records: []replicator.Record{record("a", 0)}}
-	c := start(t, p, peers{records: []replicator.Record{record("a", 0), record("b", 1)}, serves: serves})
-	reaches(t, c, 1)
-	serves.Store(true)
-	reaches(t, c, 2)
+	c := start(t, p, peers{records: []replicator.Record{record("a", 0), record("b", 1)}, serving: serving})
+	waitForEnd(t, c, 1)
+	serving.Store(true)
+	waitForEnd(t, c, 2)
 	time.Sleep(50 * time.Millisecond)
 	before, after := 0, 0
 	p.set(func() { before = p.reads })
 	time.Sleep(500 * time.Millisecond)
 	p.set(func() { after = p.reads })
 	assert.Equal(t, after, before)
-	serves.Store(false)
+	serving.Store(false)
 	p.set(func() { p.records = append(p.records, record("b", 1), record("c", 2)) })
-	reaches(t, c, 3)
+	waitForEnd(t, c, 3)
 }
 
-// The platform is down, and no VM has anything fresh. Were each of hundreds to try
-// again and again, it would have to refuse them all when it comes back. Those that
-// follow leave it to those that read, but for one to whom what others have read
-// does not come although the platform answers them.
-func TestFollowersDoNotTryADeadPlatform(t *testing.T) {
-	serves := &atomic.Bool{}
-	serves.Store(true)
+// The platform is down and no VM has fresh records. If hundreds of VMs kept retrying,
+// the platform would have to reject them all when it comes back. Followers leave the
+// retries to the VMs that read, unless the platform answers other VMs whose records
+// do not reach them.
+func TestFollowersDoNotRetryAnUnavailablePlatform(t *testing.T) {
+	serving := &atomic.Bool{}
+	serving.Store(true)
 	for _, c := range []struct {
 		peers peers
 		reads bool
@@ -210,11 +210,11 @@
 		{peers{duty: gossiper.StandsBy, stale: true}, true},
 		{peers{duty: gossiper.StandsBy}, false},
 	} {
-		serves.Store(false)
-		c.peers.serves = serves
+		serving.Store(false)
+		c.peers.serving = serving
 		p := &platform{records: []replicator.Record{record("a", 0)}}
-		reaches(t, start(t, p, c.peers), 1)
-		serves.Store(true)
+		waitForEnd(t, start(t, p, c.peers), 1)
+		serving.Store(true)
 		time.Sleep(50 * time.Millisecond)
 		before, after := 0, 0
 		p.set(func() { before = p.reads })
@@ -224,10 +224,10 @@
 	}
 }
 
-// forgetful does not answer a long reading when there is news.
-type forgetful struct{ platform }
+// stallingPlatform does not answer a long poll when there are new records.
+type stallingPlatform struct{ platform }
 
-func (f *forgetful) Read(ctx context.Context, _ string, from int64, wait time.Duration) ([]replicator.Record, int64, error) {
+func (f *stallingPlatform) Read(ctx context.Context, _ string, from int64, wait time.Duration) ([]replicator.Record, int64, error) {
 	select {
 	case <-ctx.Done():
 		return nil, 0, ctx.Err()
@@ -236,28 +236,28 @@
 	}
 }
 
-// The platform holds a long reading although there is something new. The copy is
-// not old yet, but the others have read further, and a version of the
-// configuration has to be in force within two seconds.
+// The platform does not answer a long poll although there are new records. The copy
+// is not stale yet, but the peers have read further, and a new configuration has to
+// be in effect within two seconds.
 func TestPeersAreAskedWhenTheyAreAhead(t *testing.T) {
-	p := &forgetful{platform{records: []replicator.Record{record("a", 0)}}}
+	p := &stallingPlatform{platform{records: []replicator.Record{record("a", 0)}}}
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
 	began := time.Now()
 	run(t, syncer.Stream{Name: "s", Copy: c, Wait: 10 * time.Second, StaleAfter: time.Minute, MaxLag: 100 * time.Millisecond}, p,
 		peers{records: []replicator.Record{record("a", 0), record("b", 1)}})
-	reaches(t, c, 2)
+	waitForEnd(t, c, 2)
 	assert.Assert(t, time.Since(began) < 5*time.Second)
 }
 
-// A VM has just started, and another one of its zone has all that it needs. It must
-// not wait for its next look at its peers, nor make a call of its own.
-func TestStartingVMTakesAPeersRecordsAtOnce(t *testing.T) {
-	serves := &atomic.Bool{}
-	serves.Store(true)
+// A VM has just started, and another one of its zone has all the records. The new VM
+// must neither wait for its next regular check of its peers nor call the platform.
+func TestStartingVMFetchesFromPeerImmediately(t *testing.T) {
+	serving := &atomic.Bool{}
+	serving.Store(true)
 	p := &platform{records: []replicator.Record{record("a", 0), record("b", 1)}}
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
 	s := syncer.New(syncer.Stream{Name: "s", Copy: c, Interval: time.Millisecond, StaleAfter: 200 * time.Millisecond, Shared: true}, p,
-		peers{records: p.records, serves: serves, duty: gossiper.Follows}, time.Now, zerolog.Nop())
+		peers{records: p.records, serving: serving, duty: gossiper.Follows}, time.Now, zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	var both sync.WaitGroup
 	both.Go(func() { s.Run(ctx) })
@@ -266,44 +266,46 @@
 	defer cancel()
 	began := time.Now()
 	s.Wake()
-	reaches(t, c, 2)
+	waitForEnd(t, c, 2)
 	assert.Assert(t, time.Since(began) < 140*time.Millisecond, "it took %v", time.Since(began))
-	p.set(func() { assert.Equal(t, p.wholes, 0) })
+	p.set(func() { assert.Equal(t, p.snapshots, 0) })
 }
 
-// No VM of the zone has anything. The one that reads first tells the others at once.
-func TestFirstReaderTellsTheOthers(t *testing.T) {
-	told := &atomic.Int32{}
+// No VM of the zone has any records. The first one to read them announces them
+// immediately.
+func TestFirstReadIsPublished(t *testing.T) {
+	published := &atomic.Int32{}
 	p := &platform{records: []replicator.Record{record("a", 0)}}
-	c := start(t, p, peers{told: told})
-	reaches(t, c, 1)
+	c := start(t, p, peers{published: published})
+	waitForEnd(t, c, 1)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if told.Load() == 1 {
+		if published.Load() == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("told %d times", told.Load())
+		return poll.Continue("published %d times", published.Load())
 	})
 }
 
-// All that has been heard is that others start too, and none of them gets anything:
-// the VM that followed reads for itself.
-func TestStartingVMWaitsForPeersInVainOnlyBriefly(t *testing.T) {
-	serves := &atomic.Bool{}
-	serves.Store(true)
+// This VM hears only from others that are starting too, and none of them gets any
+// records: the follower reads for itself.
+func TestStartingVMStopsWaitingForPeers(t *testing.T) {
+	serving := &atomic.Bool{}
+	serving.Store(true)
 	p := &platform{records: []replicator.Record{record("a", 0)}}
 	began := time.Now()
-	reaches(t, start(t, p, peers{serves: serves, duty: gossiper.Follows, stale: true}), 1)
+	waitForEnd(t, start(t, p, peers{serving: serving, duty: gossiper.Follows, stale: true}), 1)
 	assert.Assert(t, time.Since(began) < time.Second, "it took %v", time.Since(began))
 }
 
-// A fleet starts for the first time, and operators have published nothing yet. Each
-// reading is paid for: the platform holds one until there is something.
-func TestEmptyStreamIsReadWholeOnce(t *testing.T) {
+// A fleet starts for the first time, and operators have not published anything yet.
+// Each read is paid for, so the stream is read in full only once; after that the
+// platform holds each read until there are records.
+func TestEmptyStreamIsReadInFullOnce(t *testing.T) {
 	p := &platform{}
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
 	run(t, syncer.Stream{Name: "s", Copy: c, Interval: 20 * time.Millisecond, StaleAfter: time.Second, Shared: true}, p, peers{})
 	time.Sleep(400 * time.Millisecond)
-	p.set(func() { assert.Equal(t, p.wholes, 1) })
+	p.set(func() { assert.Equal(t, p.snapshots, 1) })
 	p.set(func() { p.records = append(p.records, record("a", 0)) })
-	reaches(t, c, 1)
+	waitForEnd(t, c, 1)
 }
