--- a/entry/process/pager/pager.go
+++ b/entry/process/pager/pager.go
@@ -1,8 +1,8 @@
 // Package pager serves this VM's copies of records to other VMs, and fetches theirs.
-// It answers a new version of the configuration, or a restart of a zone, after which
-// a hundred VMs ask one for the same records within milliseconds: what they get is
-// encoded and compressed once. Done for each, it would take more memory than a small
-// VM has.
+// After a new version of the configuration or a restart of a zone, a hundred VMs may
+// ask one VM for the same records within milliseconds, so the response is encoded and
+// compressed once for all of them. Doing that per request would take more memory than
+// a small VM has.
 package pager
 
 import (
@@ -29,26 +29,27 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("pager")
 
-// Path is where a VM serves its copies.
+// Path is the path at which a VM serves its copies.
 const Path = "/records"
 
 const (
-	// mostRecords is the longest reading of another VM's records, in bytes.
-	mostRecords = 32 << 20
-	// leastPacked is the size in bytes from which records are compressed: some VMs
-	// have links of 20 Mbit/s, on which thirty times 100 KB take more than a second.
-	leastPacked = 2 << 10
+	// maxResponseBytes bounds the size of another VM's response.
+	maxResponseBytes = 32 << 20
+	// minCompressedBytes is the size from which records are compressed. Some VMs have
+	// links of 20 Mbit/s, on which thirty responses of 100 KB take more than a
+	// second.
+	minCompressedBytes = 2 << 10
 )
 
-// The headers of an answer: the offset below which nothing is missing, how long ago
-// in milliseconds the platform confirmed it, and whether these are all keys.
+// Response headers: the offset below which no record is missing, the milliseconds
+// since the platform confirmed it, and whether the records are a full snapshot.
 const (
-	endHeader   = "Heathervane-End"
-	ageHeader   = "Heathervane-Age"
-	wholeHeader = "Heathervane-Whole"
+	endHeader      = "Heathervane-End"
+	ageHeader      = "Heathervane-Age"
+	snapshotHeader = "Heathervane-Whole"
 )
 
-// A Meter counts.
+// A Meter counts events.
 type Meter interface {
 	Count(name string, n int64)
 }
@@ -61,27 +62,27 @@
 	log    zerolog.Logger
 
 	mu sync.Mutex
-	// pages are the last ones, by stream.
+	// pages caches the last page of each stream.
 	pages map[string]*page
 }
 
-// A page is the records from an offset on, as they go over the wire.
+// A page holds the encoded records from an offset on.
 type page struct {
 	from, changes int64
 	data          []byte
-	packed        bool
+	compressed    bool
 }
 
-// New returns a Pager of copies, by stream.
+// New returns a Pager for the given copies, by stream.
 func New(copies map[string]*replicator.Copy, m Meter, now func() time.Time, log zerolog.Logger) *Pager {
 	return &Pager{copies: copies, meter: m, now: now, log: log, pages: make(map[string]*page)}
 }
 
-// ServeHTTP answers another VM.
-func (p *Pager) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	stream := q.FormValue("stream")
+// ServeHTTP serves records to another VM.
+func (p *Pager) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	stream := req.FormValue("stream")
 	c, ok := p.copies[stream]
-	from, err := strconv.ParseInt(q.FormValue("from"), 10, 64)
+	from, err := strconv.ParseInt(req.FormValue("from"), 10, 64)
 	if !ok || err != nil {
 		http.Error(w, "no such stream or offset", http.StatusBadRequest)
 		return
@@ -89,40 +90,41 @@
 	state := c.State(from)
 	body, err := p.page(stream, c, from, state.Changes)
 	if err != nil {
-		p.log.Error().Err(err).Msg("records for a peer were not encoded")
+		p.log.Error().Err(err).Msg("could not encode records for a peer")
 		http.Error(w, "not encoded", http.StatusInternalServerError)
 		return
 	}
 	h := w.Header()
 	h.Set(endHeader, strconv.FormatInt(state.End, 10))
 	h.Set(ageHeader, strconv.FormatInt(p.now().Sub(state.AsOf).Milliseconds(), 10))
-	h.Set(wholeHeader, strconv.FormatBool(state.Snapshot))
-	if body.packed {
+	h.Set(snapshotHeader, strconv.FormatBool(state.Snapshot))
+	if body.compressed {
 		h.Set("Content-Encoding", "gzip")
 	}
 	if _, err := w.Write(body.data); err != nil {
-		p.log.Info().Err(err).Str("peer", q.RemoteAddr).Msg("records not sent to a peer")
+		p.log.Info().Err(err).Str("peer", req.RemoteAddr).Msg("could not send records to a peer")
 	}
 }
 
-// page gives what a stream's records from an offset on look like, which may be newer
-// than the changes that are asked for. Whoever comes while it is made waits for it.
+// page returns the encoded records of a stream from an offset on, which may include
+// later changes than the given count. Concurrent callers wait for a single encoding.
 func (p *Pager) page(stream string, c *replicator.Copy, from, changes int64) (*page, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if last, ok := p.pages[stream]; ok && last.from == from && last.changes >= changes {
 		return last, nil
 	}
-	// Counted before they are taken, so that what comes meanwhile is encoded again.
+	// Read the count before the records: if a change arrives in between, the page
+	// counts as older and the next request encodes it again.
 	changes = c.State(from).Changes
-	made, err := encode(c.Since(from).Records)
+	encoded, err := encode(c.Since(from).Records)
 	if err != nil {
 		return nil, err
 	}
 	p.meter.Count("pages.encoded", 1)
-	made.from, made.changes = from, changes
-	p.pages[stream] = made
-	return made, nil
+	encoded.from, encoded.changes = from, changes
+	p.pages[stream] = encoded
+	return encoded, nil
 }
 
 func encode(rs []replicator.Record) (*page, error) {
@@ -130,11 +132,11 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if len(data) < leastPacked {
+	if len(data) < minCompressedBytes {
 		return &page{data: data}, nil
 	}
-	var packed bytes.Buffer
-	w, err := gzip.NewWriterLevel(&packed, gzip.BestSpeed)
+	var compressed bytes.Buffer
+	w, err := gzip.NewWriterLevel(&compressed, gzip.BestSpeed)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -142,34 +144,34 @@
 	if err = errors.Join(err, w.Close()); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return &page{data: packed.Bytes(), packed: true}, nil
+	return &page{data: compressed.Bytes(), compressed: true}, nil
 }
 
-// query is what another VM is asked for.
+// query holds the query parameters of a request to another VM.
 type query struct {
 	Stream string `url:"stream"`
 	From   int64  `url:"from"`
 }
 
-// Fetch gets another VM's records from an offset on.
+// Fetch returns another VM's records from an offset on.
 func Fetch(ctx context.Context, from netip.AddrPort, stream string, offset int64, now func() time.Time) (replicator.Page, error) {
-	q, err := sling.New().Base("http://" + from.String()).Get(Path).QueryStruct(query{stream, offset}).Request()
+	req, err := sling.New().Base("http://" + from.String()).Get(Path).QueryStruct(query{stream, offset}).Request()
 	if err != nil {
 		return replicator.Page{}, Error.Wrap(err)
 	}
-	reply, err := http.DefaultClient.Do(q.WithContext(ctx))
+	resp, err := http.DefaultClient.Do(req.WithContext(ctx))
 	if err != nil {
 		return replicator.Page{}, Error.Wrap(err)
 	}
-	defer reply.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(reply.Body, mostRecords))
+	defer resp.Body.Close()
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return replicator.Page{}, Error.Wrap(err)
 	}
-	if reply.StatusCode != http.StatusOK {
-		return replicator.Page{}, Error.New("%s answered %d: %s", from, reply.StatusCode, strings.TrimSpace(string(data)))
+	if resp.StatusCode != http.StatusOK {
+		return replicator.Page{}, Error.New("peer %s returned status %d: %s", from, resp.StatusCode, strings.TrimSpace(string(data)))
 	}
-	return decode(reply.Header, data, now())
+	return decode(resp.Header, data, now())
 }
 
 func decode(h http.Header, data []byte, now time.Time) (p replicator.Page, err error) {
@@ -177,11 +179,11 @@
 		return replicator.Page{}, Error.Wrap(err)
 	}
 	var age int64
-	var failed [3]error
-	p.End, failed[0] = strconv.ParseInt(h.Get(endHeader), 10, 64)
-	age, failed[1] = strconv.ParseInt(h.Get(ageHeader), 10, 64)
-	p.Snapshot, failed[2] = strconv.ParseBool(h.Get(wholeHeader))
-	if err = errors.Join(failed[:]...); err != nil {
+	var parseErrs [3]error
+	p.End, parseErrs[0] = strconv.ParseInt(h.Get(endHeader), 10, 64)
+	age, parseErrs[1] = strconv.ParseInt(h.Get(ageHeader), 10, 64)
+	p.Snapshot, parseErrs[2] = strconv.ParseBool(h.Get(snapshotHeader))
+	if err = errors.Join(parseErrs[:]...); err != nil {
 		return replicator.Page{}, Error.Wrap(err)
 	}
 	p.AsOf = now.Add(-time.Duration(age) * time.Millisecond)
--- a/entry/process/pager/pager_test.go
+++ b/entry/process/pager/pager_test.go
@@ -17,12 +17,12 @@
 	"github.com/heathervane/heathervane/entry/process/replicator"
 )
 
-// counts is a meter.
+// counts is a meter that counts the pages encoded.
 type counts struct{ encoded atomic.Int64 }
 
 func (c *counts) Count(_ string, n int64) { c.encoded.Add(n) }
 
-// records are so many of about a kilobyte each.
+// records returns n records of about a kilobyte each.
 func records(n int) []replicator.Record {
 	var rs []replicator.Record
 	for i := range n {
@@ -43,8 +43,8 @@
 	return replicator.New(func([]replicator.Record, time.Duration) {})
 }
 
-// All VMs of a zone ask for a new version at once. It must be encoded once: with a
-// compressor for each, a small VM would run out of memory.
+// All VMs of a zone request a new version at once. It must be encoded only once: with
+// a compressor for each request, a small VM would run out of memory.
 func TestSameRecordsAreEncodedOnce(t *testing.T) {
 	c := newCopy()
 	c.MergeSnapshot(records(200), 200, time.Now())
@@ -61,7 +61,7 @@
 	assert.Equal(t, m.encoded.Load(), int64(1))
 }
 
-// A record that came since must not be held back by what was encoded before.
+// A cached page must not hide records that arrived after it was encoded.
 func TestNewRecordsAreServed(t *testing.T) {
 	c := newCopy()
 	c.MergeSnapshot(records(3), 3, time.Now())
@@ -79,9 +79,10 @@
 	assert.Assert(t, !p.Snapshot)
 }
 
-// What a peer has is as old as the platform's word to it, also where it was encoded
-// long before: told as fresh, an old list would be used on.
-func TestAgeIsThatOfTheCopy(t *testing.T) {
+// The age of a page is that of the platform's last confirmation, even if the page was
+// encoded long before. If an old list were reported as fresh, VMs would keep using
+// it.
+func TestAgeIsMeasuredFromLastConfirmation(t *testing.T) {
 	c := newCopy()
 	c.MergeSnapshot(records(1), 1, time.Now().Add(-2*time.Second))
 	at, _ := serve(t, c)
@@ -96,15 +97,16 @@
 	assert.Assert(t, time.Since(p.AsOf) < time.Second)
 }
 
-// A VM of another version, or something else at its address, must not be believed.
-func TestOtherAnswersAreErrors(t *testing.T) {
+// An error response, from a VM of another version or from a different process at its
+// address, must not be taken for records.
+func TestErrorResponseIsAnError(t *testing.T) {
 	at, _ := serve(t, newCopy())
 	_, err := pager.Fetch(t.Context(), at, "unknown", 0, time.Now)
 	assert.ErrorContains(t, err, "400")
 }
 
-// BenchmarkHundredVMs is the memory that a restart of a zone takes where a VM's
-// configuration has some hundred kilobytes.
+// BenchmarkHundredVMs measures the memory that a restart of a zone takes when a VM's
+// configuration has a few hundred kilobytes.
 func BenchmarkHundredVMs(b *testing.B) {
 	c := newCopy()
 	c.MergeSnapshot(records(300), 300, time.Now())
