--- a/entry/process/keeper/keeper.go
+++ b/entry/process/keeper/keeper.go
@@ -1,6 +1,6 @@
-// Package keeper keeps the requests in quarantine on the platform's log, from which
-// all VMs learn of them: those that run, and those that start later. It is for fleets
-// whose VMs exchange no datagrams. It decides nothing.
+// Package keeper stores quarantine records on the platform's log, from which all VMs
+// read them, including VMs that start later. It is for fleets whose VMs exchange no
+// datagrams. Which requests are quarantined is decided elsewhere.
 package keeper
 
 import (
@@ -16,20 +16,20 @@
 )
 
 const (
-	// lookEvery is how often it is looked at whether there is something to append
-	// that could not be appended before, or is due again.
-	lookEvery = 2 * time.Second
-	// together is how long changes that come together wait for one another: an
-	// upstream that dies breaks many streams at once.
-	together = 10 * time.Millisecond
-	// readWait is how long a read waits for the next record, appendTime and readTime
-	// bound a call, and rest is the pause after one that failed.
-	readWait   = 5 * time.Second
-	readTime   = readWait + 2*time.Second
-	appendTime = 2 * time.Second
-	rest       = 500 * time.Millisecond
-	// mostRecords is how many records one read asks for.
-	mostRecords = 64
+	// retryInterval is how often the Keeper checks for parts that could not be
+	// appended before or that are due again.
+	retryInterval = 2 * time.Second
+	// batchDelay is how long a change waits for others, since an upstream that
+	// crashes breaks many streams at once.
+	batchDelay = 10 * time.Millisecond
+	// readWait is how long a read waits for the next record. appendTimeout and
+	// readTimeout bound a call. readBackoff is the pause after a failed read.
+	readWait      = 5 * time.Second
+	readTimeout   = readWait + 2*time.Second
+	appendTimeout = 2 * time.Second
+	readBackoff   = 500 * time.Millisecond
+	// maxRecordsPerRead is how many records one read requests.
+	maxRecordsPerRead = 64
 )
 
 // A Log is the platform's log.
@@ -38,7 +38,7 @@
 	Read(ctx context.Context, stream string, from uint64, most int, wait time.Duration) (appender.Batch, error)
 }
 
-// A Quarantine is what is kept.
+// A Quarantine holds the records to store.
 type Quarantine interface {
 	Fresh(own bool) [][]byte
 	All() [][]byte
@@ -47,33 +47,33 @@
 	MarkStored(r quarantiner.Record)
 }
 
-// Deps are what a Keeper works with.
+// Deps are the dependencies of a Keeper.
 type Deps struct {
 	Log    Log
 	Ticker *ticker.Ticker
 	Logger zerolog.Logger
 }
 
-// A Keeper is one VM's part.
+// A Keeper exchanges one VM's quarantine records with the platform's log.
 type Keeper struct {
-	deps   Deps
-	kept   Quarantine
-	change chan struct{}
-	look   chan struct{}
-	// next is the offset to read from.
-	next uint64
+	deps       Deps
+	quarantine Quarantine
+	changed    chan struct{}
+	tick       chan struct{}
+	// nextOffset is the offset to read from.
+	nextOffset uint64
 }
 
-// New returns a Keeper that keeps nothing until it is told what.
+// New returns a Keeper. SetQuarantine must be called before Run.
 func New(d Deps) *Keeper {
-	return &Keeper{deps: d, change: make(chan struct{}, 1), look: make(chan struct{}, 1)}
+	return &Keeper{deps: d, changed: make(chan struct{}, 1), tick: make(chan struct{}, 1)}
 }
 
-// SetQuarantine says what is kept. It is called once, before Run.
-func (k *Keeper) SetQuarantine(q Quarantine) { k.kept = q }
+// SetQuarantine sets the quarantine to store. It must be called once, before Run.
+func (k *Keeper) SetQuarantine(q Quarantine) { k.quarantine = q }
 
-// ScheduleAppend has changes appended soon.
-func (k *Keeper) ScheduleAppend() { signal(k.change) }
+// ScheduleAppend makes Run append new records soon.
+func (k *Keeper) ScheduleAppend() { signal(k.changed) }
 
 func signal(c chan struct{}) {
 	select {
@@ -82,9 +82,9 @@
 	}
 }
 
-// Run appends and reads until the context ends.
+// Run appends and reads records until the context ends.
 func (k *Keeper) Run(ctx context.Context) {
-	stop := k.deps.Ticker.Subscribe(lookEvery, func(time.Time) { signal(k.look) })
+	stop := k.deps.Ticker.Subscribe(retryInterval, func(time.Time) { signal(k.tick) })
 	defer stop()
 	ended := make(chan struct{})
 	go func() {
@@ -94,81 +94,82 @@
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-k.change:
-			pause(ctx, together)
-			k.append(ctx, k.kept.Fresh(true))
-		case <-k.look:
-			k.append(ctx, k.kept.Fresh(true))
+		case <-k.changed:
+			sleep(ctx, batchDelay)
+			k.appendParts(ctx, k.quarantine.Fresh(true))
+		case <-k.tick:
+			k.appendParts(ctx, k.quarantine.Fresh(true))
 			k.retry(ctx)
 		}
 	}
 	<-ended
 }
 
-// retry appends what is held and not on the log yet.
+// retry appends all records if some are held but not stored on the log yet.
 func (k *Keeper) retry(ctx context.Context) {
-	due, _ := k.kept.Reconcile()
-	if len(due) == 0 || !k.append(ctx, k.kept.All()) {
+	due, _ := k.quarantine.Reconcile()
+	if len(due) == 0 || !k.appendParts(ctx, k.quarantine.All()) {
 		return
 	}
 	for _, r := range due {
-		k.kept.MarkStored(r)
+		k.quarantine.MarkStored(r)
 	}
 }
 
-func (k *Keeper) append(ctx context.Context, parts [][]byte) bool {
+func (k *Keeper) appendParts(ctx context.Context, parts [][]byte) bool {
 	for _, part := range parts {
 		data, err := recorder.Wrap(recorder.KindQuarantine, recorder.QuarantineRecord{Part: part})
 		if err == nil {
-			short, cancel := context.WithTimeout(ctx, appendTime)
-			_, err = k.deps.Log.Append(short, recorder.Quarantine, data)
+			appendCtx, cancel := context.WithTimeout(ctx, appendTimeout)
+			_, err = k.deps.Log.Append(appendCtx, recorder.Quarantine, data)
 			cancel()
 		}
 		if err != nil {
-			k.deps.Logger.Warn().Err(err).Msg("quarantine not recorded")
+			k.deps.Logger.Warn().Err(err).Msg("could not append a quarantine record")
 			return false
 		}
 	}
 	return true
 }
 
-// read follows the log from its first record that is kept.
+// read follows the log from its first retained record.
 func (k *Keeper) read(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := k.deps.Ticker.Now()
-		short, cancel := context.WithTimeout(ctx, readTime)
-		b, err := k.deps.Log.Read(short, recorder.Quarantine, k.next, mostRecords, readWait)
+		readCtx, cancel := context.WithTimeout(ctx, readTimeout)
+		b, err := k.deps.Log.Read(readCtx, recorder.Quarantine, k.nextOffset, maxRecordsPerRead, readWait)
 		cancel()
 		if err != nil {
-			k.deps.Logger.Debug().Err(err).Msg("quarantine not read")
-			pause(ctx, rest)
+			k.deps.Logger.Debug().Err(err).Msg("could not read quarantine records")
+			sleep(ctx, readBackoff)
 			continue
 		}
-		k.take(b)
-		if len(b.Records) == 0 && k.deps.Ticker.Now().Sub(began) < rest {
-			// A log that does not wait as asked must not be read as fast as it answers.
-			pause(ctx, rest)
+		k.apply(b)
+		if len(b.Records) == 0 && k.deps.Ticker.Now().Sub(began) < readBackoff {
+			// The log may return before readWait has passed. Do not poll it as fast
+			// as it answers.
+			sleep(ctx, readBackoff)
 		}
 	}
 }
 
-func (k *Keeper) take(b appender.Batch) {
-	if b.End < k.next {
-		// The log was begun anew.
-		k.next = 0
+func (k *Keeper) apply(b appender.Batch) {
+	if b.End < k.nextOffset {
+		// The log was recreated.
+		k.nextOffset = 0
 	}
 	for _, r := range b.Records {
-		k.next = r.Offset + 1
+		k.nextOffset = r.Offset + 1
 		q, err := recorder.Unwrap[recorder.QuarantineRecord](r.Data)
 		if err != nil {
-			k.deps.Logger.Debug().Uint64("offset", r.Offset).Err(err).Msg("record of a quarantine not understood")
+			k.deps.Logger.Debug().Uint64("offset", r.Offset).Err(err).Msg("could not decode a quarantine record")
 			continue
 		}
-		k.kept.TakeOlder(q.Part, max(0, k.deps.Ticker.Now().Sub(r.At)))
+		k.quarantine.TakeOlder(q.Part, max(0, k.deps.Ticker.Now().Sub(r.At)))
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/entry/process/keeper/keeper_test.go
+++ b/entry/process/keeper/keeper_test.go
@@ -22,10 +22,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds a wait on an event.
-const patience = 20 * time.Second
+// waitTimeout bounds the wait for an event.
+const waitTimeout = 20 * time.Second
 
-// A log keeps records, or fails all calls while it is down.
+// A log stores records. All calls fail while it is down.
 type log struct {
 	mu      sync.Mutex
 	down    bool
@@ -58,14 +58,14 @@
 	return b, nil
 }
 
-func (l *log) turn(down bool) {
+func (l *log) setDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
-// hasRecords waits until something was appended.
-func (l *log) hasRecords(t *testing.T) {
+// waitForRecords waits until a record was appended.
+func (l *log) waitForRecords(t *testing.T) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		l.mu.Lock()
@@ -73,15 +73,15 @@
 		if len(l.records) > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("nothing is appended")
-	}, poll.WithTimeout(patience))
+		return poll.Continue("no record was appended")
+	}, poll.WithTimeout(waitTimeout))
 }
 
 func (l *log) start(t *testing.T) (q *quarantiner.Quarantiner, stop func()) {
 	t.Helper()
 	clock := ticker.New(time.Now, time.Millisecond)
 	k := keeper.New(keeper.Deps{Log: l, Ticker: clock, Logger: zerolog.Nop()})
-	q = quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: k.ScheduleAppend, MayRunTrial: nobody})
+	q = quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: k.ScheduleAppend, MayRunTrial: denyTrial})
 	k.SetQuarantine(q)
 	ctx, cancel := context.WithCancel(t.Context())
 	var parts sync.WaitGroup
@@ -93,60 +93,61 @@
 	}
 }
 
-var one = fingerprinter.Of(&fingerprinter.Request{Body: []byte("one")})
+var fingerprint = fingerprinter.Of(&fingerprinter.Request{Body: []byte("one")})
 
-func isHeld(t *testing.T, q *quarantiner.Quarantiner) {
+func waitUntilHeld(t *testing.T, q *quarantiner.Quarantiner) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if _, held := q.Held(one); held {
+		if _, held := q.Held(fingerprint); held {
 			return poll.Success()
 		}
-		return poll.Continue("it is not held")
-	}, poll.WithTimeout(patience), poll.WithDelay(5*time.Millisecond))
+		return poll.Continue("the request is not held")
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(5*time.Millisecond))
 }
 
-// Each VM has lost one engine only, and one that starts later none.
-func TestVMsLearnFromTheLogWhatCrashesUpstreams(t *testing.T) {
+// Each VM has seen only one upstream crash, and a VM that starts later has seen none.
+func TestVMsShareLossesThroughTheLog(t *testing.T) {
 	l := &log{}
 	var all []*quarantiner.Quarantiner
 	for i, upstream := range []string{"a", "b", "c"} {
 		q, stop := l.start(t)
 		defer stop()
 		all = append(all, q)
-		q.Lost(one, upstream, int64(i))
+		q.Lost(fingerprint, upstream, int64(i))
 	}
 	for _, q := range all {
-		isHeld(t, q)
+		waitUntilHeld(t, q)
 	}
 	later, stop := l.start(t)
 	defer stop()
-	isHeld(t, later)
+	waitUntilHeld(t, later)
 }
 
-// The log is down while the request is found out, and the VM ends once it is back.
-func TestWhatIsHeldOutlastsAnOutageOfTheLogAndItsVM(t *testing.T) {
+// The log is down when the request is quarantined, and the VM stops once the log is
+// back.
+func TestQuarantineSurvivesLogOutageAndRestart(t *testing.T) {
 	l := &log{down: true}
 	q, stop := l.start(t)
 	for _, upstream := range []string{"a", "b", "c"} {
-		q.Lost(one, upstream, 1)
+		q.Lost(fingerprint, upstream, 1)
 	}
-	isHeld(t, q)
-	l.turn(false)
-	l.hasRecords(t)
+	waitUntilHeld(t, q)
+	l.setDown(false)
+	l.waitForRecords(t)
 	stop()
 	again, stop := l.start(t)
 	defer stop()
-	isHeld(t, again)
+	waitUntilHeld(t, again)
 }
 
-// Losses of an hour ago are no losses of now, however late a VM reads of them.
-func TestOldRecordsAreOld(t *testing.T) {
+// Losses of an hour ago must not count as current, however late a VM reads them.
+func TestOldLossesDoNotCount(t *testing.T) {
 	l := &log{}
 	q, stop := l.start(t)
 	for _, upstream := range []string{"a", "b", "c"} {
-		q.Lost(one, upstream, 1)
+		q.Lost(fingerprint, upstream, 1)
 	}
-	l.hasRecords(t)
+	l.waitForRecords(t)
 	stop()
 	for i := range l.records {
 		l.records[i].At = l.records[i].At.Add(-time.Hour)
@@ -154,9 +155,9 @@
 	later, stop := l.start(t)
 	defer stop()
 	time.Sleep(100 * time.Millisecond)
-	_, held := later.Held(one)
+	_, held := later.Held(fingerprint)
 	assert.Assert(t, !held)
 }
 
-// nobody may try a held request.
-func nobody(quarantiner.Fingerprint) bool { return false }
+// denyTrial lets no VM try a held request.
+func denyTrial(quarantiner.Fingerprint) bool { return false }
