--- a/entry/process/observer/observer.go
+++ b/entry/process/observer/observer.go
@@ -1,6 +1,6 @@
-// Package observer watches how long upstreams take, and feeds the gauger. It
-// exists apart from it because time goes by while nothing happens: an engine
-// that answers nothing must count as slow before its first answer comes.
+// Package observer tracks how long upstreams take to respond and reports it to the
+// gauger. It is separate from the gauger because the passing of time counts too: an
+// engine that does not respond must count as slow before its first response arrives.
 package observer
 
 import (
@@ -10,60 +10,62 @@
 	"github.com/heathervane/heathervane/entry/process/gauger"
 )
 
-// stoodStill is the time between two ticks above which this process did not run:
-// several times that between ticks of a busy VM. What upstreams did meanwhile is
-// not known, and a pause of a VM says nothing of their speed.
-const stoodStill = time.Second
+// pauseThreshold is the time between two ticks above which this process is considered
+// to have been paused. It is several times the interval between the ticks of a busy
+// VM. What upstreams did during a pause is unknown, and the pause says nothing about
+// their speed.
+const pauseThreshold = time.Second
 
-// An Observer follows the requests that wait for a first token. It is safe for
-// concurrent use, and so is the gauger through it.
+// An Observer tracks the requests that wait for a first token. It is safe for
+// concurrent use and serialises access to the gauger.
 type Observer struct {
 	now func() time.Time
 
 	mu      sync.Mutex
 	gauger  *gauger.Gauger
-	waiting map[string]wait
-	// ticked is when this process last was known to run.
-	ticked time.Time
-	turned func(upstream string, boot uint64, cause string)
+	waiting map[string]pendingRequest
+	// lastRun is when this process was last known to be running.
+	lastRun time.Time
+	onCold  func(upstream string, boot uint64, cause string)
 }
 
-type wait struct {
+type pendingRequest struct {
 	upstream string
 	tokens   int
 	rate     float64
 	since    time.Time
 }
 
-// New returns an Observer over a gauger that nobody else uses. Evidence that an
-// upstream has turned cold goes to turned.
+// New returns an Observer for a gauger that is used by nothing else. It passes
+// evidence that an upstream has restarted cold to turned.
 func New(g *gauger.Gauger, now func() time.Time, turned func(upstream string, boot uint64, cause string)) *Observer {
-	return &Observer{gauger: g, now: now, waiting: make(map[string]wait), ticked: now(), turned: turned}
+	return &Observer{gauger: g, now: now, waiting: make(map[string]pendingRequest), lastRun: now(), onCold: turned}
 }
 
-// Speed is an upstream's measured speed, as the gauger has it.
+// Speed returns an upstream's speed as measured by the gauger.
 func (o *Observer) Speed(upstream string) float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.gauger.Speed(o.now(), upstream)
 }
 
-// Turned hears evidence that an upstream has turned cold.
+// Turned passes on evidence that an upstream is in cold start.
 func (o *Observer) Turned(upstream string, boot uint64, cause string) {
-	o.turned(upstream, boot, cause)
+	o.onCold(upstream, boot, cause)
 }
 
-// Begun hears that an upstream was sent work under an id. Until its first token
-// it has so many prompt tokens to read, and promised that many a second.
+// Begun records that a request was sent to an upstream. Until the first token the
+// upstream has to read the given number of prompt tokens, and rate is the number per
+// second that it promised.
 func (o *Observer) Begun(upstream, id string, tokens int, rate float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
-	o.run(now)
-	o.waiting[id] = wait{upstream: upstream, tokens: tokens, rate: rate, since: now}
+	o.skipPause(now)
+	o.waiting[id] = pendingRequest{upstream: upstream, tokens: tokens, rate: rate, since: now}
 }
 
-// First hears that the first token came.
+// First records that the first token of a request has arrived.
 func (o *Observer) First(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -73,41 +75,41 @@
 	}
 	delete(o.waiting, id)
 	now := o.now()
-	if now.Sub(o.ticked) > stoodStill {
+	if now.Sub(o.lastRun) > pauseThreshold {
 		return
 	}
 	o.gauger.Observe(now, w.upstream, w.tokens, now.Sub(w.since), w.rate)
 }
 
-// Ended hears that work is over, with or without a first token.
+// Ended records that a request is over, with or without a first token.
 func (o *Observer) Ended(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.waiting, id)
 }
 
-// Tick tells the gauger of every first token that has not come.
+// Tick reports every outstanding first token to the gauger.
 func (o *Observer) Tick(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.run(now)
+	o.skipPause(now)
 	for _, w := range o.waiting {
 		o.gauger.Waiting(now, w.upstream, w.tokens, now.Sub(w.since), w.rate)
 	}
 	o.gauger.Sweep(now)
 }
 
-// run notes that this process runs, and counts no wait for a time in which it
-// did not. Its timers and its callers' answers come in any order after a pause,
-// so that whichever comes first has to look. Without it a VM that was paused for
-// ten seconds takes all engines that it waited for to be a hundred times slower
-// than they are, and refuses every question.
-func (o *Observer) run(now time.Time) {
-	if missed := now.Sub(o.ticked); missed > stoodStill {
+// skipPause records that this process is running, and excludes the time during which
+// it was paused from all waits. After a pause, timers and responses fire in any
+// order, so the first of them has to check. Without this a VM that was paused for ten
+// seconds would take all the engines it was waiting for to be a hundred times slower
+// than they are, and would refuse every request.
+func (o *Observer) skipPause(now time.Time) {
+	if missed := now.Sub(o.lastRun); missed > pauseThreshold {
 		for id, w := range o.waiting {
 			w.since = w.since.Add(missed)
 			o.waiting[id] = w
 		}
 	}
-	o.ticked = now
+	o.lastRun = now
 }
