--- a/entry/process/bounder/bounder.go
+++ b/entry/process/bounder/bounder.go
@@ -1,23 +1,24 @@
-// Package bounder bounds a quantity over all requests of a process together,
-// such as the bytes of the request bodies in memory. It does not wait: an entry
-// VM is small, and a caller who is told at once can go to another.
+// Package bounder limits a quantity across all requests of a process, such as the
+// bytes of request bodies in memory. It never waits: an entry VM is small, and a
+// caller that is refused immediately can go to another VM.
 package bounder
 
 import "sync"
 
-// A Bounder lends parts of a fixed total.
+// A Bounder hands out parts of a fixed total.
 type Bounder struct {
 	mu    sync.Mutex
 	total int64
 	used  int64
 }
 
-// New returns a Bounder of a total.
+// New returns a Bounder with the given total.
 func New(total int64) *Bounder {
 	return &Bounder{total: total}
 }
 
-// TryAcquire takes n of the total, or nothing and false where that much is not left.
+// TryAcquire takes n from the total. It takes nothing and returns false if n is
+// negative or less than n is left.
 func (b *Bounder) TryAcquire(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -28,19 +29,19 @@
 	return true
 }
 
-// Release returns n that TryAcquire took.
+// Release returns n that TryAcquire has taken.
 func (b *Bounder) Release(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.used -= n
 }
 
-// Used is what is taken now.
+// Used returns how much is currently taken.
 func (b *Bounder) Used() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used
 }
 
-// Total is the bound.
+// Total returns the total.
 func (b *Bounder) Total() int64 { return b.total }
