--- a/entry/process/keeper/keeper.go
+++ b/entry/process/keeper/keeper.go
@@ -40,9 +40,9 @@
 
 // A Quarantine holds the records to store.
 type Quarantine interface {
-	Fresh(own bool) [][]byte
+	PendingChanges(own bool) [][]byte
 	All() [][]byte
-	TakeOlder(data []byte, age time.Duration) (news bool)
+	MergeOlder(data []byte, age time.Duration) (news bool)
 	Reconcile() (keep []quarantiner.Record, drop []quarantiner.Fingerprint)
 	MarkStored(r quarantiner.Record)
 }
@@ -96,9 +96,9 @@
 		case <-ctx.Done():
 		case <-k.changed:
 			sleep(ctx, batchDelay)
-			k.appendParts(ctx, k.quarantine.Fresh(true))
+			k.appendParts(ctx, k.quarantine.PendingChanges(true))
 		case <-k.tick:
-			k.appendParts(ctx, k.quarantine.Fresh(true))
+			k.appendParts(ctx, k.quarantine.PendingChanges(true))
 			k.retry(ctx)
 		}
 	}
@@ -165,7 +165,7 @@
 			k.deps.Logger.Debug().Uint64("offset", r.Offset).Err(err).Msg("could not decode a quarantine record")
 			continue
 		}
-		k.quarantine.TakeOlder(q.Part, max(0, k.deps.Ticker.Now().Sub(r.At)))
+		k.quarantine.MergeOlder(q.Part, max(0, k.deps.Ticker.Now().Sub(r.At)))
 	}
 }
 
--- a/entry/process/syncer/syncer.go
+++ b/entry/process/syncer/syncer.go
@@ -66,21 +66,22 @@
 
 // Peers are the other VMs.
 type Peers interface {
-	// Duty returns whether this VM reads the platform for others. ReadsAtStart
-	// reports whether it does so right after its start if no VM that it hears from
-	// will.
-	Duty() gossiper.Duty
-	ReadsAtStart() bool
-	// Publish tells the other VMs immediately how far this one has read.
-	Publish()
-	// Answered returns when the platform last confirmed any offset of a stream to a
-	// VM that this one hears from.
-	Answered(stream string) time.Time
-	// Confirmed returns when a VM was last told that a stream has no records beyond
+	// ReadRole returns whether this VM reads the platform for others, stands by or
+	// follows. ShouldReadAtStart reports whether it reads right after its start if
+	// none of the VMs that it hears from will.
+	ReadRole() gossiper.ReadRole
+	ShouldReadAtStart() bool
+	// PublishOffsets tells the other VMs immediately how far this one has read.
+	PublishOffsets()
+	// LastConfirmed returns when the platform last confirmed any offset of a stream
+	// to a VM that this one hears from.
+	LastConfirmed(stream string) time.Time
+	// ConfirmedAt returns when a VM was last told that a stream has no records beyond
 	// an offset, or the zero time if none was.
-	Confirmed(stream string, offset int64) time.Time
-	// Ahead returns the address of a VM that has read further than an offset.
-	Ahead(stream string, than int64) (netip.AddrPort, bool)
+	ConfirmedAt(stream string, offset int64) time.Time
+	// MostAdvancedPeer returns the address of a VM that has read further than an
+	// offset.
+	MostAdvancedPeer(stream string, than int64) (netip.AddrPort, bool)
 	// Fetch returns another VM's records from an offset on.
 	Fetch(ctx context.Context, from netip.AddrPort, stream string, offset int64) (replicator.Page, error)
 }
@@ -159,7 +160,7 @@
 			}
 			needSnapshot, backoff, lastRead = false, minBackoff, now
 			if first && s.hasRecords() && s.stream.Shared {
-				s.peers.Publish()
+				s.peers.PublishOffsets()
 			}
 			sleep(ctx, s.stream.Interval)
 			continue
@@ -210,10 +211,10 @@
 // starts would make its own calls.
 func (s *Syncer) shouldStart() bool {
 	elapsed := s.now().Sub(s.runStartedAt)
-	if _, ahead := s.peers.Ahead(s.stream.Name, 0); ahead && elapsed < peerRecordsWait {
+	if _, ahead := s.peers.MostAdvancedPeer(s.stream.Name, 0); ahead && elapsed < peerRecordsWait {
 		return false
 	}
-	return elapsed >= peerRecordsWait || (elapsed >= peerDiscoveryWait && s.peers.ReadsAtStart())
+	return elapsed >= peerRecordsWait || (elapsed >= peerDiscoveryWait && s.peers.ShouldReadAtStart())
 }
 
 // shouldRead reports whether this VM has to read the platform. Each read is paid for
@@ -233,14 +234,14 @@
 		asOf = s.createdAt
 	}
 	overdue := s.now().Sub(asOf) - s.stream.StaleAfter
-	switch s.peers.Duty() {
-	case gossiper.Reads:
+	switch s.peers.ReadRole() {
+	case gossiper.Reader:
 		return true
-	case gossiper.StandsBy:
+	case gossiper.Standby:
 		return overdue >= 0
-	case gossiper.Follows:
+	case gossiper.Follower:
 	}
-	answered := s.now().Sub(s.peers.Answered(s.stream.Name)) < s.stream.StaleAfter
+	answered := s.now().Sub(s.peers.LastConfirmed(s.stream.Name)) < s.stream.StaleAfter
 	return overdue >= followerGrace && (answered || end == 0)
 }
 
@@ -292,10 +293,10 @@
 	for ctx.Err() == nil {
 		s.waitForPeerPoll(ctx)
 		end, asOf := s.stream.Copy.End()
-		if confirmed := s.peers.Confirmed(s.stream.Name, end); confirmed.After(asOf) {
+		if confirmed := s.peers.ConfirmedAt(s.stream.Name, end); confirmed.After(asOf) {
 			s.stream.Copy.Confirm(confirmed)
 		}
-		from, ok := s.peers.Ahead(s.stream.Name, end)
+		from, ok := s.peers.MostAdvancedPeer(s.stream.Name, end)
 		if !ok {
 			behindSince = time.Time{}
 			continue
--- a/entry/process/syncer/syncer_test.go
+++ b/entry/process/syncer/syncer_test.go
@@ -66,40 +66,40 @@
 	// serving reports that the peers read for this VM, confirm what it has and pass
 	// on their records. If it is nil they only pass on their records.
 	serving *atomic.Bool
-	// duty is this VM's duty while the peers serve. stale reports that they confirm
-	// nothing. answered is when the platform last answered one of them.
-	duty     gossiper.Duty
-	stale    bool
-	answered time.Time
-	// published counts the calls of Publish.
+	// role is this VM's role while the peers serve. stale reports that they confirm
+	// nothing. lastConfirmed is when the platform last answered one of them.
+	role          gossiper.ReadRole
+	stale         bool
+	lastConfirmed time.Time
+	// published counts the calls of PublishOffsets.
 	published *atomic.Int32
 }
 
-func (p peers) Duty() gossiper.Duty {
+func (p peers) ReadRole() gossiper.ReadRole {
 	if p.serving == nil || !p.serving.Load() {
-		return gossiper.Reads
+		return gossiper.Reader
 	}
-	return p.duty
+	return p.role
 }
 
-func (p peers) ReadsAtStart() bool { return p.Duty() == gossiper.Reads }
+func (p peers) ShouldReadAtStart() bool { return p.ReadRole() == gossiper.Reader }
 
-func (p peers) Publish() {
+func (p peers) PublishOffsets() {
 	if p.published != nil {
 		p.published.Add(1)
 	}
 }
 
-func (p peers) Confirmed(string, int64) time.Time {
-	if p.Duty() == gossiper.Reads || p.stale {
+func (p peers) ConfirmedAt(string, int64) time.Time {
+	if p.ReadRole() == gossiper.Reader || p.stale {
 		return time.Time{}
 	}
 	return time.Now()
 }
 
-func (p peers) Answered(string) time.Time { return p.answered }
+func (p peers) LastConfirmed(string) time.Time { return p.lastConfirmed }
 
-func (p peers) Ahead(_ string, than int64) (netip.AddrPort, bool) {
+func (p peers) MostAdvancedPeer(_ string, than int64) (netip.AddrPort, bool) {
 	return netip.AddrPort{}, int64(len(p.records)) > than && (p.serving == nil || p.serving.Load())
 }
 
@@ -205,10 +205,10 @@
 		peers peers
 		reads bool
 	}{
-		{peers{duty: gossiper.Follows, stale: true}, false},
-		{peers{duty: gossiper.Follows, stale: true, answered: time.Now().Add(time.Hour)}, true},
-		{peers{duty: gossiper.StandsBy, stale: true}, true},
-		{peers{duty: gossiper.StandsBy}, false},
+		{peers{role: gossiper.Follower, stale: true}, false},
+		{peers{role: gossiper.Follower, stale: true, lastConfirmed: time.Now().Add(time.Hour)}, true},
+		{peers{role: gossiper.Standby, stale: true}, true},
+		{peers{role: gossiper.Standby}, false},
 	} {
 		serving.Store(false)
 		c.peers.serving = serving
@@ -257,7 +257,7 @@
 	p := &platform{records: []replicator.Record{record("a", 0), record("b", 1)}}
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
 	s := syncer.New(syncer.Stream{Name: "s", Copy: c, Interval: time.Millisecond, StaleAfter: 200 * time.Millisecond, Shared: true}, p,
-		peers{records: p.records, serving: serving, duty: gossiper.Follows}, time.Now, zerolog.Nop())
+		peers{records: p.records, serving: serving, role: gossiper.Follower}, time.Now, zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	var both sync.WaitGroup
 	both.Go(func() { s.Run(ctx) })
@@ -293,7 +293,7 @@
 	serving.Store(true)
 	p := &platform{records: []replicator.Record{record("a", 0)}}
 	began := time.Now()
-	waitForEnd(t, start(t, p, peers{serving: serving, duty: gossiper.Follows, stale: true}), 1)
+	waitForEnd(t, start(t, p, peers{serving: serving, role: gossiper.Follower, stale: true}), 1)
 	assert.Assert(t, time.Since(began) < time.Second, "it took %v", time.Since(began))
 }
 
