--- a/entry/connection/acceptor/acceptor.go
+++ b/entry/connection/acceptor/acceptor.go
@@ -76,12 +76,12 @@
 		listener: l, handler: h, most: most, now: now, log: log,
 		open: make(map[net.Conn]*held), ended: make(chan struct{}, 1), done: make(chan struct{}),
 	}
-	a.Limit(matcher.Limits{HeaderTime: headerTime, IdleTime: idleTime})
+	a.SetLimits(matcher.Limits{HeaderTime: headerTime, IdleTime: idleTime})
 	return a
 }
 
-// Limit puts limits in force for the connections that come from now on.
-func (a *Acceptor) Limit(l matcher.Limits) {
+// SetLimits puts limits in force for the connections that come from now on.
+func (a *Acceptor) SetLimits(l matcher.Limits) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if old := a.current.Load(); old != nil && l == a.limits {
--- a/entry/connection/carrier/carrier.go
+++ b/entry/connection/carrier/carrier.go
@@ -44,10 +44,10 @@
 	// request has run again; without the wait its connection would be closed for
 	// nothing, and an upstream that answered early is rare.
 	writtenTime = 5 * time.Millisecond
-	// MostIdle is how many idle connections are kept to one address. A VM has
+	// MaxIdlePerAddress is how many idle connections are kept to one address. A VM has
 	// a few requests at a time at one upstream, whose connections it shares
 	// with all other VMs.
-	MostIdle = 4
+	MaxIdlePerAddress = 4
 	// mostHeader bounds an answer's header in bytes.
 	mostHeader = 64 << 10
 	// readBuffer is the size of a connection's buffer in bytes: an event of a
@@ -58,8 +58,8 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("carrier")
 
-// A Failure is a sending that brought no answer.
-type Failure struct { //nolint:errname // the word that callers meet
+// A SendError is a sending that brought no answer.
+type SendError struct { //nolint:errname // the word that callers meet
 	// Sent says that a byte of the request may have left.
 	Sent bool
 	// Reused says that the connection had served an earlier request.
@@ -68,10 +68,10 @@
 }
 
 // Error gives the cause.
-func (f *Failure) Error() string { return f.Err.Error() }
+func (f *SendError) Error() string { return f.Err.Error() }
 
 // Unwrap gives the cause.
-func (f *Failure) Unwrap() error { return f.Err }
+func (f *SendError) Unwrap() error { return f.Err }
 
 // A Request is what is sent.
 type Request struct {
@@ -81,11 +81,11 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a connection that has served no other request.
-	Fresh bool
-	// Idle is how many idle connections to the address are kept at most once it is
+	// NewConnection asks for a connection that has served no other request.
+	NewConnection bool
+	// MaxIdle is how many idle connections to the address are kept at most once it is
 	// answered: 0 for the usual number, less for none.
-	Idle int
+	MaxIdle int
 }
 
 // A Carrier keeps connections to upstreams.
@@ -134,17 +134,17 @@
 
 // Send sends a request and reads the head of its answer. The exchange ends with
 // the context, and must be closed.
-func (c *Carrier) Send(ctx context.Context, address string, q Request) (*Exchange, *Failure) {
-	n, reused, err := c.take(ctx, address, q.Fresh)
+func (c *Carrier) Send(ctx context.Context, address string, q Request) (*Exchange, *SendError) {
+	n, reused, err := c.take(ctx, address, q.NewConnection)
 	if err != nil {
-		return nil, &Failure{Err: err}
+		return nil, &SendError{Err: err}
 	}
 	if err := ctx.Err(); err != nil {
 		n.Close()
-		return nil, &Failure{Err: err}
+		return nil, &SendError{Err: err}
 	}
 	inner, cancel := context.WithCancel(ctx)
-	x := &Exchange{Reused: reused, carrier: c, address: address, idle: q.Idle, conn: n, written: make(chan error, 1), cancel: cancel}
+	x := &Exchange{Reused: reused, carrier: c, address: address, idle: q.MaxIdle, conn: n, written: make(chan error, 1), cancel: cancel}
 	// Closing the connection tells the upstream at once that nobody waits.
 	x.stop = context.AfterFunc(inner, func() { n.Close() })
 	// The answer may come before the body is read, and the upstream may stop
@@ -155,7 +155,7 @@
 		if cause := ctx.Err(); cause != nil {
 			err = cause
 		}
-		return nil, &Failure{Sent: true, Reused: reused, Err: err}
+		return nil, &SendError{Sent: true, Reused: reused, Err: err}
 	}
 	return x, nil
 }
--- a/entry/connection/carrier/carrier_test.go
+++ b/entry/connection/carrier/carrier_test.go
@@ -151,7 +151,7 @@
 			c := carrier.New(time.Now)
 			for range 2 {
 				q := get()
-				q.Fresh = test.fresh
+				q.NewConnection = test.fresh
 				answer, err := whole(t, c, address, q)
 				assert.NilError(t, err)
 				assert.Equal(t, answer, "hi")
@@ -319,9 +319,9 @@
 	c := carrier.New(func() time.Time { return time.Unix(0, now.Load()) })
 	_, err := whole(t, c, address, get())
 	assert.NilError(t, err)
-	c.Sweep()
+	c.CloseExpired()
 	now.Add(int64(10 * time.Second))
-	c.Sweep()
+	c.CloseExpired()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		select {
 		case <-gone:
@@ -344,7 +344,7 @@
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, c.Dials(), int64(1))
-	c.Drop(address)
+	c.CloseIdle(address)
 	_, err := whole(t, c, address, get())
 	assert.NilError(t, err)
 	assert.Equal(t, c.Dials(), int64(2))
@@ -359,7 +359,7 @@
 		for range 2 {
 			var open []*carrier.Exchange
 			for range 2 {
-				x, failure := c.Send(t.Context(), address, carrier.Request{Method: http.MethodGet, Target: "/", Host: "h", Idle: idle})
+				x, failure := c.Send(t.Context(), address, carrier.Request{Method: http.MethodGet, Target: "/", Host: "h", MaxIdle: idle})
 				assert.Assert(t, failure == nil, "%v", failure)
 				open = append(open, x)
 			}
--- a/entry/connection/carrier/pool.go
+++ b/entry/connection/carrier/pool.go
@@ -92,11 +92,11 @@
 
 func (c *Carrier) put(address string, n *conn, keep time.Duration, most int) {
 	if most == 0 {
-		most = MostIdle
+		most = MaxIdlePerAddress
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if keep <= 0 || len(c.idle[address]) >= min(MostIdle, most) {
+	if keep <= 0 || len(c.idle[address]) >= min(MaxIdlePerAddress, most) {
 		n.Close()
 		return
 	}
@@ -104,9 +104,9 @@
 	c.idle[address] = append(c.idle[address], n)
 }
 
-// Drop closes the idle connections to an address. They may have fallen silent
+// CloseIdle closes the idle connections to an address. They may have fallen silent
 // together with one that did; a new one shows whether the upstream is reached.
-func (c *Carrier) Drop(address string) {
+func (c *Carrier) CloseIdle(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range c.idle[address] {
@@ -115,8 +115,8 @@
 	delete(c.idle, address)
 }
 
-// Sweep closes idle connections whose time is over.
-func (c *Carrier) Sweep() {
+// CloseExpired closes idle connections whose time is over.
+func (c *Carrier) CloseExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
--- a/entry/connection/linker/fetch.go
+++ b/entry/connection/linker/fetch.go
@@ -26,8 +26,8 @@
 	Data []byte
 }
 
-// Serve sets what peers get that fetch this VM's state. f must not block.
-func (l *Linker) Serve(f func() []byte) {
+// ServeState sets what peers get that fetch this VM's state. f must not block.
+func (l *Linker) ServeState(f func() []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state = f
@@ -56,9 +56,9 @@
 	})
 }
 
-// Fetch gets a VM's state over the link to it. It waits for the answer until
+// FetchState gets a VM's state over the link to it. It waits for the answer until
 // the context ends.
-func (l *Linker) Fetch(ctx context.Context, vm string) ([]byte, error) {
+func (l *Linker) FetchState(ctx context.Context, vm string) ([]byte, error) {
 	c := make(chan []byte, 1)
 	l.mu.Lock()
 	l.nextID++
--- a/entry/connection/linker/link.go
+++ b/entry/connection/linker/link.go
@@ -115,7 +115,7 @@
 	ctx, stop := context.WithCancel(l.ctx)
 	defer stop()
 	k := &link{peer: peer, conn: conn, queue: newQueue(), stop: stop}
-	conn.SetReadLimit(MostMessage)
+	conn.SetReadLimit(MaxMessageSize)
 	if !l.enter(k) {
 		l.refused.Inc(1)
 		conn.Close(websocket.StatusPolicyViolation, "an earlier process of this VM")
--- a/entry/connection/linker/linker.go
+++ b/entry/connection/linker/linker.go
@@ -29,8 +29,8 @@
 const Path = "/peer"
 
 const (
-	// MostMessage bounds a message in bytes. The largest is a configuration.
-	MostMessage = 2 << 20
+	// MaxMessageSize bounds a message in bytes. The largest is a configuration.
+	MaxMessageSize = 2 << 20
 	// maxQueue bounds the messages waiting for one link.
 	maxQueue = 256
 	// helloTime bounds the opening of a link.
@@ -134,17 +134,17 @@
 // Send queues a message for a VM. Without an error it may still be lost.
 func Send[T any](l *Linker, to, kind string, m T) error { return send(l, to, kind, m, false) }
 
-// SendBeat is Send for a message that the next of its kind replaces: it is the
+// SendHeartbeat is Send for a message that the next of its kind replaces: it is the
 // first to go where the queue is full.
-func SendBeat[T any](l *Linker, to, kind string, m T) error { return send(l, to, kind, m, true) }
+func SendHeartbeat[T any](l *Linker, to, kind string, m T) error { return send(l, to, kind, m, true) }
 
 func send[T any](l *Linker, to, kind string, m T, beat bool) error {
 	data, err := recorder.Wrap(kind, m)
 	if err != nil {
 		return err
 	}
-	if len(data) > MostMessage {
-		return ErrNoLink.New("message of %d bytes, at most %d", len(data), MostMessage)
+	if len(data) > MaxMessageSize {
+		return ErrNoLink.New("message of %d bytes, at most %d", len(data), MaxMessageSize)
 	}
 	l.mu.Lock()
 	k := l.peers[to]
@@ -158,9 +158,9 @@
 	return nil
 }
 
-// Open has the Linker hold a link to a VM at an address, where none stands. It
+// Connect has the Linker hold a link to a VM at an address, where none stands. It
 // does not wait for it.
-func (l *Linker) Open(vm, address string) {
+func (l *Linker) Connect(vm, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed || vm == l.c.VM || l.peers[vm] != nil || l.dials[vm] {
@@ -170,8 +170,8 @@
 	l.wait.Go(func() { l.dial(vm, address) })
 }
 
-// Linked lists the VMs that a link stands to.
-func (l *Linker) Linked() []string {
+// Connected lists the VMs that a link stands to.
+func (l *Linker) Connected() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]string, 0, len(l.peers))
--- a/entry/connection/linker/linker_test.go
+++ b/entry/connection/linker/linker_test.go
@@ -79,9 +79,9 @@
 	a := start(t, linker.Config{VM: "a", Boot: 1})
 	b := start(t, linker.Config{VM: "b", Boot: 2})
 	// Both learn of one another together.
-	a.Open("b", b.address)
-	b.Open("a", a.address)
-	until(t, "a link", func() bool { return len(a.Linked()) == 1 && len(b.Linked()) == 1 })
+	a.Connect("b", b.address)
+	b.Connect("a", a.address)
+	until(t, "a link", func() bool { return len(a.Connected()) == 1 && len(b.Connected()) == 1 })
 	assert.NilError(t, linker.Send(a.Linker, "b", "word", "there"))
 	assert.Equal(t, b.wait(t), "there")
 	assert.NilError(t, linker.Send(b.Linker, "a", "word", "back"))
@@ -95,15 +95,15 @@
 func TestFetch(t *testing.T) {
 	a := start(t, linker.Config{VM: "a", Boot: 1})
 	b := start(t, linker.Config{VM: "b", Boot: 2})
-	b.Serve(func() []byte { return []byte("state") })
-	a.Open("b", b.address)
-	until(t, "a link", func() bool { return len(a.Linked()) == 1 })
+	b.ServeState(func() []byte { return []byte("state") })
+	a.Connect("b", b.address)
+	until(t, "a link", func() bool { return len(a.Connected()) == 1 })
 	ctx, cancel := context.WithTimeout(t.Context(), far)
 	defer cancel()
-	data, err := a.Fetch(ctx, "b")
+	data, err := a.FetchState(ctx, "b")
 	assert.NilError(t, err)
 	assert.Equal(t, string(data), "state")
-	_, err = a.Fetch(ctx, "c")
+	_, err = a.FetchState(ctx, "c")
 	assert.Assert(t, linker.ErrFetch.Has(err))
 }
 
@@ -125,9 +125,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			a := start(t, linker.Config{VM: "a", Boot: 1})
 			b := start(t, test.c)
-			a.Open(test.as, b.address)
+			a.Connect(test.as, b.address)
 			until(t, "a refusal", func() bool { return a.counter("links.refused")+b.counter("links.refused") > 0 })
-			assert.Equal(t, len(a.Linked()), 0)
+			assert.Equal(t, len(a.Connected()), 0)
 		})
 	}
 }
@@ -137,15 +137,15 @@
 func TestNewerProcessReplacesLink(t *testing.T) {
 	a := start(t, linker.Config{VM: "a", Boot: 1})
 	b1 := start(t, linker.Config{VM: "b", Boot: 2})
-	b1.Open("a", a.address)
-	until(t, "the first link", func() bool { return len(a.Linked()) == 1 })
+	b1.Connect("a", a.address)
+	until(t, "the first link", func() bool { return len(a.Connected()) == 1 })
 	b2 := start(t, linker.Config{VM: "b", Boot: 3})
-	b2.Open("a", a.address)
+	b2.Connect("a", a.address)
 	until(t, "the newer process", func() bool {
 		_ = linker.Send(a.Linker, "b", "word", "new")
 		return len(b2.got) > 0
 	})
-	b1.Open("a", a.address)
+	b1.Connect("a", a.address)
 	until(t, "a refusal", func() bool { return a.counter("links.refused") > 0 })
 	assert.NilError(t, linker.Send(a.Linker, "b", "word", "still"))
 	until(t, "a message to the newer process", func() bool { return b2.wait(t) == "still" })
@@ -156,9 +156,9 @@
 	a := start(t, linker.Config{VM: "a", Boot: 1})
 	b := start(t, linker.Config{VM: "b", Boot: 2})
 	c := start(t, linker.Config{VM: "c", Boot: 3})
-	a.Open("b", b.address)
-	a.Open("c", c.address)
-	until(t, "links", func() bool { return len(a.Linked()) == 2 && len(b.Linked()) == 1 && len(c.Linked()) == 1 })
+	a.Connect("b", b.address)
+	a.Connect("c", c.address)
+	until(t, "links", func() bool { return len(a.Connected()) == 2 && len(b.Connected()) == 1 && len(c.Connected()) == 1 })
 	assert.NilError(t, linker.Send(b.Linker, "a", "word", 7)) // no string
 	until(t, "the link's end", func() bool { return a.counter("links.broken") == 1 })
 	assert.NilError(t, linker.Send(c.Linker, "a", "unknown", 7))
--- a/entry/connection/streamer/stream.go
+++ b/entry/connection/streamer/stream.go
@@ -20,8 +20,8 @@
 	lineSize = 64 << 10
 )
 
-// ErrCut is a stream that ended before its answer did; it can be resumed.
-var ErrCut = Error.New("cut before its end")
+// ErrInterrupted is a stream that ended before its answer did; it can be resumed.
+var ErrInterrupted = Error.New("cut before its end")
 
 // A Token is one token of an answer.
 type Token struct {
@@ -32,8 +32,8 @@
 	Text json.RawMessage
 }
 
-// An End is what an engine says at the end of a whole answer.
-type End struct {
+// An Summary is what an engine says at the end of a whole answer.
+type Summary struct {
 	Tokens uint64 `json:"tokens"`
 	Prompt int    `json:"prompt"`
 	Cached int    `json:"cached"`
@@ -52,7 +52,7 @@
 	lines    *bufio.Reader
 	last     uint64
 	ahead    map[uint64]json.RawMessage
-	end      *End
+	end      *Summary
 }
 
 type event struct {
@@ -105,9 +105,9 @@
 // resume, and a caller who saw a token twice would have a wrong answer.
 func (t *Stream) take(e event) (Token, bool, error) {
 	if e.kind == "done" {
-		var end End
+		var end Summary
 		if err := json.Unmarshal(e.data, &end); err != nil {
-			return Token{}, false, ErrCut
+			return Token{}, false, ErrInterrupted
 		}
 		t.end = &end
 		return Token{}, false, nil
@@ -117,14 +117,14 @@
 	}
 	text, err := tokenText(e.data)
 	if err != nil {
-		return Token{}, false, ErrCut
+		return Token{}, false, ErrInterrupted
 	}
 	if e.id == t.last+1 {
 		t.last++
 		return Token{Number: t.last, Text: text}, true, nil
 	}
 	if len(t.ahead) >= mostAhead {
-		return Token{}, false, ErrCut
+		return Token{}, false, ErrInterrupted
 	}
 	t.ahead[e.id] = bytes.Clone(text)
 	return Token{}, false, nil
@@ -142,7 +142,7 @@
 	}
 	text := data[len(head) : len(data)-1]
 	if len(text) < 2 || text[0] != '"' || !json.Valid(text) {
-		return nil, ErrCut
+		return nil, ErrInterrupted
 	}
 	return text, nil
 }
@@ -171,7 +171,7 @@
 		case "id":
 			e.id, err = strconv.ParseUint(string(value), 10, 64)
 			if err != nil {
-				return e, ErrCut
+				return e, ErrInterrupted
 			}
 		case "event":
 			e.kind = string(value)
@@ -189,7 +189,7 @@
 		line, err = t.long(line)
 	}
 	if err != nil {
-		return nil, ErrCut
+		return nil, ErrInterrupted
 	}
 	return bytes.TrimRight(line, "\r\n"), nil
 }
@@ -203,7 +203,7 @@
 			return line, err
 		}
 	}
-	return nil, ErrCut
+	return nil, ErrInterrupted
 }
 
 // Resume connects again after ErrCut. It returns ErrGone where the engine has
@@ -229,8 +229,8 @@
 // Last is the number of the last token delivered.
 func (t *Stream) Last() uint64 { return t.last }
 
-// End is what the engine said at the end; nil before io.EOF.
-func (t *Stream) End() *End { return t.end }
+// Summary is what the engine said at the end; nil before io.EOF.
+func (t *Stream) Summary() *Summary { return t.end }
 
 // Buffered tells whether more of the stream has come already, so that Next
 // will not wait.
--- a/entry/connection/streamer/streamer.go
+++ b/entry/connection/streamer/streamer.go
@@ -37,15 +37,15 @@
 
 // A Job is what an engine is asked to do.
 type Job struct {
-	ID       string   `json:"id"`
-	VM       string   `json:"vm"`
-	Boot     uint64   `json:"boot"`
-	Expect   uint64   `json:"expect"`
-	Model    string   `json:"model"`
-	Prompt   string   `json:"prompt"`
-	Output   int      `json:"output,omitempty"`
-	Priority int      `json:"priority,omitempty"`
-	Imports  []Import `json:"imports,omitempty"`
+	ID              string   `json:"id"`
+	VM              string   `json:"vm"`
+	Boot            uint64   `json:"boot"`
+	ExpectedBoot    uint64   `json:"expect"`
+	Model           string   `json:"model"`
+	Prompt          string   `json:"prompt"`
+	MaxOutputTokens int      `json:"output,omitempty"`
+	Priority        int      `json:"priority,omitempty"`
+	Imports         []Import `json:"imports,omitempty"`
 }
 
 // An Import names a part of a prompt that another engine of a group holds.
@@ -59,9 +59,9 @@
 	Status int
 	Code   string
 	Text   string
-	// Ran is false only where the engine itself says that nothing ran, or
+	// MayHaveRun is false only where the engine itself says that nothing ran, or
 	// where no byte of the job can have reached it.
-	Ran bool
+	MayHaveRun bool
 	// Boot is the engine's boot number, 0 where unknown.
 	Boot uint64
 }
@@ -92,9 +92,9 @@
 	return newStream(s, address, j.ID, answer), nil
 }
 
-// Part has an engine read one part of a prompt and keep it. It returns the
+// PrefillPart has an engine read one part of a prompt and keep it. It returns the
 // handle under which the group's next engine imports it.
-func (s *Streamer) Part(ctx context.Context, address string, j Job) (string, error) {
+func (s *Streamer) PrefillPart(ctx context.Context, address string, j Job) (string, error) {
 	answer, err := s.post(ctx, address, "/v1/parts", j)
 	if err != nil {
 		return "", err
@@ -153,7 +153,7 @@
 	if err != nil {
 		r.Code, r.Text = "unclear", "the refusal could not be read"
 	}
-	r.Ran = answer.Header.Get(ranHeader) != "no"
+	r.MayHaveRun = answer.Header.Get(ranHeader) != "no"
 	r.Boot = boot(answer)
 	return r
 }
--- a/entry/connection/streamer/streamer_test.go
+++ b/entry/connection/streamer/streamer_test.go
@@ -132,7 +132,7 @@
 			_, err := streamer.New(s.Client()).Open(context.Background(), strings.TrimPrefix(s.URL, "http://"), streamer.Job{})
 			var r *streamer.RefusedError
 			assert.Assert(t, errors.As(err, &r))
-			assert.Equal(t, r.Ran, test.ran)
+			assert.Equal(t, r.MayHaveRun, test.ran)
 			assert.Equal(t, r.Code, test.code)
 		})
 	}
@@ -157,7 +157,7 @@
 	_, err := streamer.New(http.DefaultClient).Open(context.Background(), address, streamer.Job{})
 	var r *streamer.RefusedError
 	assert.Assert(t, errors.As(err, &r))
-	assert.Assert(t, !r.Ran)
+	assert.Assert(t, !r.MayHaveRun)
 	assert.Equal(t, r.Code, "unreached")
 }
 
--- a/entry/process/coordinator/message.go
+++ b/entry/process/coordinator/message.go
@@ -59,14 +59,14 @@
 
 type over struct{ l *linker.Linker }
 
-func (o over) Open(vm, address string) { o.l.Open(vm, address) }
-func (o over) Linked() []string        { return o.l.Linked() }
+func (o over) Open(vm, address string) { o.l.Connect(vm, address) }
+func (o over) Linked() []string        { return o.l.Connected() }
 
 func (o over) Send(to string, m Message) {
 	// Without a link the message is lost, as it may be on one: whoever sent it
 	// sends anew.
 	if m.beat() {
-		_ = linker.SendBeat(o.l, to, kind, m)
+		_ = linker.SendHeartbeat(o.l, to, kind, m)
 		return
 	}
 	_ = linker.Send(o.l, to, kind, m)
--- a/entry/process/joiner/fold.go
+++ b/entry/process/joiner/fold.go
@@ -130,7 +130,7 @@
 	if first {
 		close(v.configured)
 	}
-	v.acceptor.Limit(c.Limits)
+	v.acceptor.SetLimits(c.Limits)
 	v.log.Info().Int64("version", c.Version).Int64("offset", offset).Int("routes", len(c.Routes)).
 		Int("services", len(c.Services)).Int("teams", len(c.Teams)).Msg("configuration in force")
 }
@@ -324,7 +324,7 @@
 	if connections <= 0 {
 		return 0
 	}
-	n := budgeter.IdleConnections(connections, carrier.MostIdle, upstream, v.settings.Load().VM, v.gossiper.LiveVMs())
+	n := budgeter.IdleConnections(connections, carrier.MaxIdlePerAddress, upstream, v.settings.Load().VM, v.gossiper.LiveVMs())
 	if n == 0 {
 		return -1
 	}
--- a/entry/process/joiner/joiner.go
+++ b/entry/process/joiner/joiner.go
@@ -282,7 +282,7 @@
 }
 
 func (v *Process) background(ctx context.Context, parts *sync.WaitGroup) {
-	v.ticker.Subscribe(sweepEvery, func(time.Time) { v.carrier.Sweep() })
+	v.ticker.Subscribe(sweepEvery, func(time.Time) { v.carrier.CloseExpired() })
 	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.gossiper.Tick)
 	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.expire)
 	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.budget.note)
--- a/entry/process/prober/prober.go
+++ b/entry/process/prober/prober.go
@@ -34,7 +34,7 @@
 
 // A Carrier sends requests to upstreams.
 type Carrier interface {
-	Send(ctx context.Context, address string, q carrier.Request) (*carrier.Exchange, *carrier.Failure)
+	Send(ctx context.Context, address string, q carrier.Request) (*carrier.Exchange, *carrier.SendError)
 }
 
 // A Meter counts.
--- a/entry/process/server/coordination.go
+++ b/entry/process/server/coordination.go
@@ -30,7 +30,7 @@
 	v.linker = linker.New(linker.Config{
 		VM: s.ID, Zone: s.Zone, Address: address, Boot: v.boot, Secret: []byte(s.Peers.Secret), TLS: v.linksTLS,
 	}, v.log, v.meter.Registry())
-	v.linker.Serve(v.snapshot)
+	v.linker.ServeState(v.snapshot)
 	v.coordinator = coordinator.New(coordinator.Config{
 		VM: s.ID, Zone: s.Zone, Address: address, Boot: v.boot, Timings: coordinator.Today(),
 		Version: v.read, Heard: v.heard,
--- a/entry/process/server/fetch.go
+++ b/entry/process/server/fetch.go
@@ -35,7 +35,7 @@
 }
 
 func (v *Server) fetch(ctx context.Context, vm string) {
-	data, err := v.linker.Fetch(ctx, vm)
+	data, err := v.linker.FetchState(ctx, vm)
 	if err == nil {
 		_, err = v.follower.Adopt(data)
 	}
--- a/entry/request/chatter/answer.go
+++ b/entry/request/chatter/answer.go
@@ -15,7 +15,7 @@
 	// streams tells whether tokens go out as they come.
 	streams() bool
 	token(w http.ResponseWriter, t streamer.Token) error
-	end(w http.ResponseWriter, e streamer.End) error
+	end(w http.ResponseWriter, e streamer.Summary) error
 }
 
 func newAnswerer(j *job, now time.Time) answerer {
@@ -40,7 +40,7 @@
 	Total      uint64 `json:"total_tokens"`
 }
 
-func (f frame) usage(e streamer.End) usage {
+func (f frame) usage(e streamer.Summary) usage {
 	return usage{Prompt: f.tokens, Completion: e.Tokens, Total: uint64(f.tokens) + e.Tokens}
 }
 
@@ -96,7 +96,7 @@
 	return err
 }
 
-func (c *chunker) end(w http.ResponseWriter, e streamer.End) error {
+func (c *chunker) end(w http.ResponseWriter, e streamer.Summary) error {
 	if !c.started {
 		if err := c.start(w); err != nil {
 			return err
@@ -120,7 +120,7 @@
 	return err
 }
 
-func reason(e streamer.End) string {
+func reason(e streamer.Summary) string {
 	if e.Reason == "length" {
 		return "length"
 	}
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (g *gatherer) end(w http.ResponseWriter, e streamer.End) error {
+func (g *gatherer) end(w http.ResponseWriter, e streamer.Summary) error {
 	counted, err := json.Marshal(g.usage(e))
 	if err != nil {
 		return err
--- a/entry/request/chatter/relay.go
+++ b/entry/request/chatter/relay.go
@@ -106,7 +106,7 @@
 }
 
 func (a *attempt) finish(w http.ResponseWriter, control *http.ResponseController, s *streamer.Stream) error {
-	end := s.End()
+	end := s.Summary()
 	a.chatter.meter.Count("chat.tokens", int64(end.Tokens))
 	a.chatter.meter.Count("chat.completed", 1)
 	if err := a.writer.end(w, *end); err != nil {
--- a/entry/request/chatter/run.go
+++ b/entry/request/chatter/run.go
@@ -137,7 +137,7 @@
 	if !f.sent {
 		return false
 	}
-	for _, end := range []error{streamer.ErrCut, streamer.ErrGone, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
+	for _, end := range []error{streamer.ErrInterrupted, streamer.ErrGone, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(f.err, end) {
 			return true
 		}
@@ -240,7 +240,7 @@
 			stream, err := a.chatter.streamer.Open(ctx, part.Upstream.Address, job)
 			return stream, a.failed(part, err, sent)
 		}
-		handle, err := a.chatter.streamer.Part(ctx, part.Upstream.Address, job)
+		handle, err := a.chatter.streamer.PrefillPart(ctx, part.Upstream.Address, job)
 		if f := a.failed(part, err, sent); f != nil {
 			return nil, f
 		}
@@ -253,12 +253,12 @@
 func (a *attempt) wire(i int, part dispatcher.Part, text string, imports []streamer.Import) streamer.Job {
 	c := a.chatter.config
 	j := streamer.Job{
-		ID: a.id, VM: c.VM, Boot: c.Boot, Expect: part.Boot, Model: a.job.model,
-		Prompt: text, Output: a.job.output, Priority: a.priority(), Imports: imports,
+		ID: a.id, VM: c.VM, Boot: c.Boot, ExpectedBoot: part.Boot, Model: a.job.model,
+		Prompt: text, MaxOutputTokens: a.job.output, Priority: a.priority(), Imports: imports,
 	}
 	if i < len(a.grant.Parts)-1 {
 		j.ID += "-p" + strconv.Itoa(i)
-		j.Output = 0
+		j.MaxOutputTokens = 0
 	}
 	return j
 }
@@ -288,12 +288,12 @@
 		a.chatter.watcher.Turned(part.Upstream.Name, 0, "reset")
 		return &failure{err: err, sent: true}
 	}
-	a.held[len(a.held)-1].clear = !r.Ran
+	a.held[len(a.held)-1].clear = !r.MayHaveRun
 	switch r.Code {
 	case "boot", "down", "unreached":
 		a.chatter.watcher.Turned(part.Upstream.Name, r.Boot, r.Code)
 	}
-	return &failure{err: err, sent: sent || r.Ran}
+	return &failure{err: err, sent: sent || r.MayHaveRun}
 }
 
 // release gives the places back. Where something still stands at an engine, its
--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -306,14 +306,14 @@
 		Header: r.deps.Protocol.ForwardHeader(j.request.Header, o), Body: j.body.Data,
 		// A request that may run only once is sent on a new connection. If a reused
 		// one turned out to be closed, it would be unknown whether the request ran.
-		Fresh: !j.route.Repeatable(),
-		Idle:  r.deps.MaxIdleConns(j.service.Connections, a.grant.Upstream.ID),
+		NewConnection: !j.route.Repeatable(),
+		MaxIdle:       r.deps.MaxIdleConns(j.service.Connections, a.grant.Upstream.ID),
 	}
 	return q
 }
 
 // handleSendFailure handles an attempt without a response.
-func (r *Relayer) handleSendFailure(ctx context.Context, j *job, a *attempt, f *carrier.Failure) outcome {
+func (r *Relayer) handleSendFailure(ctx context.Context, j *job, a *attempt, f *carrier.SendError) outcome {
 	id := a.grant.Upstream.ID
 	if f.Sent {
 		j.possibleRuns++
@@ -341,7 +341,7 @@
 // request. It ignores errors other than a connection lost after the request was
 // sent: an upstream that responds wrongly has not crashed.
 func (r *Relayer) recordLoss(j *job, a *attempt, err error) {
-	var f *carrier.Failure
+	var f *carrier.SendError
 	if (errors.As(err, &f) && !f.Sent) || !isConnectionLoss(err) {
 		return
 	}
@@ -363,7 +363,7 @@
 // the upstream are dropped: if only the network path from this VM is broken, each of
 // them would stall in turn, while opening a new one detects it.
 func (r *Relayer) handleStall(j *job, a *attempt) {
-	r.deps.Carrier.Drop(a.grant.Upstream.Address)
+	r.deps.Carrier.CloseIdle(a.grant.Upstream.Address)
 	blamed := r.deps.Tracker.ReportStall(r.deps.Now(), a.sentAt, a.upstreams())
 	if slices.Contains(blamed, a.grant.Upstream.ID) {
 		j.log.losses = r.deps.Quarantine.Lost(j.fingerprint, a.grant.Upstream.ID, a.grant.Upstream.StartedAt)
--- a/entry/request/relayer/relayer.go
+++ b/entry/request/relayer/relayer.go
@@ -165,7 +165,7 @@
 	Reserver  *reserver.Reserver
 	// MaxIdleConns returns how many idle connections this VM may keep to an
 	// upstream that accepts so many connections from all VMs together. The result
-	// is used as carrier.Request.Idle.
+	// is used as carrier.Request.MaxIdle.
 	MaxIdleConns func(connections int, upstream string) int
 	// Prober checks the health of a service's upstreams after one of them has
 	// declined to help, to find those that are leaving.
