--- a/entry/process/joiner/joiner.go
+++ b/entry/process/joiner/joiner.go
@@ -288,7 +288,7 @@
 }
 
 func (v *Process) startBackground(ctx context.Context, wg *sync.WaitGroup) {
-	v.ticker.Subscribe(idleSweepInterval, func(time.Time) { v.carrier.Sweep() })
+	v.ticker.Subscribe(idleSweepInterval, func(time.Time) { v.carrier.CloseExpired() })
 	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.gossiper.Tick)
 	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.expireLapsed)
 	v.ticker.Subscribe(gossiper.HeartbeatInterval, v.retryBudget.recordMembers)
--- a/entry/process/prober/prober.go
+++ b/entry/process/prober/prober.go
@@ -35,7 +35,7 @@
 
 // A Carrier sends requests to upstreams.
 type Carrier interface {
-	Send(ctx context.Context, address string, q carrier.Request) (*carrier.Exchange, *carrier.Failure)
+	Send(ctx context.Context, address string, q carrier.Request) (*carrier.Exchange, *carrier.SendError)
 }
 
 // A Meter increments named counters.
