--- a/entry/process/deduplicator/begin.go
+++ b/entry/process/deduplicator/begin.go
@@ -17,15 +17,15 @@
 	Team, Service, Key string
 	Method, Path       string
 	Body               []byte
-	// Dated says that the key must be a UUID of version 7.
-	Dated bool
+	// Timestamped says that the key must be a UUID of version 7.
+	Timestamped bool
 }
 
 // hashes are the key, in the team's and the service's own space, and the
 // fingerprint.
 func (c Call) hashes() (key, finger recorder.Hash) {
 	word := c.Key
-	if c.Dated {
+	if c.Timestamped {
 		word = strings.ToLower(word) // a UUID is the same in both cases
 	}
 	key = hashOf([]byte(c.Team), []byte(c.Service), []byte(word))
@@ -33,8 +33,8 @@
 	return key, finger
 }
 
-// An Answer is what becomes of a call; exactly one field is set.
-type Answer struct {
+// An Decision is what becomes of a call; exactly one field is set.
+type Decision struct {
 	// Ticket allows this VM to send the call, once.
 	Ticket *Ticket
 	// Outcome is the first call's; it is never Unknown.
@@ -45,7 +45,7 @@
 
 // Begin judges a call. It waits, within the context, for the log and for the
 // outcome of a call with the same key that is under way.
-func (k *Deduplicator) Begin(ctx context.Context, c Call) Answer {
+func (k *Deduplicator) Begin(ctx context.Context, c Call) Decision {
 	begun := k.timer.Now()
 	key, finger := c.hashes()
 	w, stop := k.watch(key)
@@ -53,17 +53,17 @@
 	for {
 		v, refusal := k.judge(c, key, finger)
 		if refusal != nil {
-			return Answer{Refusal: refusal}
+			return Decision{Refusal: refusal}
 		}
 		switch v.Standing {
 		case Settled:
 			return settled(v.Outcome)
 		case Mismatch:
-			return Answer{Refusal: refuser.New(422, "key_mismatch",
+			return Decision{Refusal: refuser.New(422, "key_mismatch",
 				"the key was first used with another method, path or body")}
 		case Claimed:
 			if k.gone(v.Winner.VM, v.Winner.Boot) || !wait(ctx, w) {
-				return Answer{Refusal: unknown()}
+				return Decision{Refusal: unknown()}
 			}
 		default:
 			if a, decided := k.claim(ctx, c, begun, w); decided {
@@ -86,7 +86,7 @@
 	if err := k.ready(now); err != nil {
 		return v, refuser.New(503, "keys_unready", "%v", err).WithRetryAfter(retryAfter)
 	}
-	return v, refusalOf(k.config.Limits.Check(c.Key, c.Dated, k.ledger.Since(), now))
+	return v, refusalOf(k.config.Limits.Check(c.Key, c.Timestamped, k.ledger.Since(), now))
 }
 
 // refusalOf turns the error of a key's age into a refusal. Of a key that is too
@@ -108,11 +108,11 @@
 }
 
 // settled answers with the first call's outcome.
-func settled(o *recorder.Outcome) Answer {
+func settled(o *recorder.Outcome) Decision {
 	if o.Unknown {
-		return Answer{Refusal: unknown()}
+		return Decision{Refusal: unknown()}
 	}
-	return Answer{Outcome: o}
+	return Decision{Outcome: o}
 }
 
 func unknown() *refuser.Refusal {
@@ -122,7 +122,7 @@
 
 // claim appends an intent and waits until the log has decided it. It is not
 // decided where another attempt came first.
-func (k *Deduplicator) claim(ctx context.Context, c Call, begun time.Time, w <-chan struct{}) (Answer, bool) {
+func (k *Deduplicator) claim(ctx context.Context, c Call, begun time.Time, w <-chan struct{}) (Decision, bool) {
 	key, finger := c.hashes()
 	attempt := k.attempt()
 	refused := make(chan struct{}, 1)
@@ -132,19 +132,19 @@
 		case Won:
 			return k.ticket(ctx, c, key, attempt, begun), true
 		case Lost:
-			return Answer{}, false
+			return Decision{}, false
 		default:
 		}
 		select {
 		case <-w:
 			continue
 		case <-refused:
-			return Answer{Refusal: refuser.New(503, "keys_unready", "the log refuses records").WithRetryAfter(retryAfter)}, true
+			return Decision{Refusal: refuser.New(503, "keys_unready", "the log refuses records").WithRetryAfter(retryAfter)}, true
 		case <-ctx.Done():
 		}
 		// The intent may still land, now or later. Nothing was sent and
 		// nothing will be, and the record of that frees the key.
 		k.queue.post(recorder.CallEntry{Key: key, Attempt: attempt, Abandon: true}, nil)
-		return Answer{Refusal: refuser.New(504, "keys_slow", "the log did not decide in time").WithRetryAfter(retryAfter)}, true
+		return Decision{Refusal: refuser.New(504, "keys_slow", "the log did not decide in time").WithRetryAfter(retryAfter)}, true
 	}
 }
--- a/entry/process/deduplicator/bench_test.go
+++ b/entry/process/deduplicator/bench_test.go
@@ -67,7 +67,7 @@
 // many calls share an append.
 func BenchmarkDeduplicator(b *testing.B) {
 	log := newLog()
-	k := runAt(b, log, "a", 1, nobodyGone, deduplicator.DefaultPace)
+	k := runAt(b, log, "a", 1, nobodyGone, deduplicator.DefaultAppendInterval)
 	keys := make(chan string, b.N)
 	for n := range b.N {
 		keys <- keyMade(time.Now(), n)
@@ -82,7 +82,7 @@
 				b.Errorf("refused: %v", a.Refusal)
 				return
 			}
-			a.Ticket.Done(ok("booked"))
+			a.Ticket.Complete(ok("booked"))
 		}
 	})
 	b.ReportMetric(float64(b.N)/float64(len(log.records)), "calls/append")
--- a/entry/process/deduplicator/deduplicator.go
+++ b/entry/process/deduplicator/deduplicator.go
@@ -54,25 +54,25 @@
 	Boot uint64
 	// Limits bound the age of keys.
 	Limits Limits
-	// Body is the longest body in bytes that is kept for repetitions; 0 means
+	// MaxStoredBody is the longest body in bytes that is kept for repetitions; 0 means
 	// DefaultBody.
-	Body int
-	// Pace is the least time between two appends of this VM; 0 means
+	MaxStoredBody int
+	// AppendInterval is the least time between two appends of this VM; 0 means
 	// DefaultPace.
-	Pace time.Duration
+	AppendInterval time.Duration
 }
 
 // Defaults.
 const (
-	// DefaultMargin bounds how far any two clocks are apart. VMs' clocks are
+	// DefaultMaxClockSkew bounds how far any two clocks are apart. VMs' clocks are
 	// disciplined to well under a second; those of callers are the loose end.
-	DefaultMargin = 30 * time.Second
-	// DefaultBody holds a booking's confirmation many times over.
-	DefaultBody = 8 << 10
-	// DefaultPace has nine VMs that are always busy make 360 appends a second,
+	DefaultMaxClockSkew = 30 * time.Second
+	// DefaultMaxStoredBody holds a booking's confirmation many times over.
+	DefaultMaxStoredBody = 8 << 10
+	// DefaultAppendInterval has nine VMs that are always busy make 360 appends a second,
 	// of the several hundred that the log takes. A larger fleet needs a longer
 	// one.
-	DefaultPace = 25 * time.Millisecond
+	DefaultAppendInterval = 25 * time.Millisecond
 )
 
 const (
@@ -102,11 +102,11 @@
 // New returns a Deduplicator. It judges nothing until Run has read the log. gone says
 // whether a VM's process has certainly ended.
 func New(c Config, log Log, timer Timer, gone func(vm string, boot uint64) bool, meter Meter) *Deduplicator {
-	if c.Body == 0 {
-		c.Body = DefaultBody
+	if c.MaxStoredBody == 0 {
+		c.MaxStoredBody = DefaultMaxStoredBody
 	}
-	if c.Pace == 0 {
-		c.Pace = DefaultPace
+	if c.AppendInterval == 0 {
+		c.AppendInterval = DefaultAppendInterval
 	}
 	k := &Deduplicator{
 		config:   c,
@@ -123,7 +123,7 @@
 
 // Run reads and appends until the context ends.
 func (k *Deduplicator) Run(ctx context.Context) error {
-	defer k.timer.Subscribe(k.config.Pace, func(time.Time) { poke(k.queue.tick) })()
+	defer k.timer.Subscribe(k.config.AppendInterval, func(time.Time) { poke(k.queue.tick) })()
 	defer k.timer.Subscribe(recheck, k.check)()
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return k.queue.run(ctx) })
@@ -154,8 +154,8 @@
 	return least + least*time.Duration(spread)/256
 }
 
-// Limit changes how long keys are known.
-func (k *Deduplicator) Limit(l Limits) {
+// SetLimits changes how long keys are known.
+func (k *Deduplicator) SetLimits(l Limits) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.config.Limits = l
@@ -188,10 +188,10 @@
 // Pending is how many outcomes and abandonments are still to be appended.
 func (k *Deduplicator) Pending() int { return k.queue.pending() }
 
-// Wait returns when none is pending, or when the context ends. A VM that leaves
+// Flush returns when none is pending, or when the context ends. A VM that leaves
 // without it takes the last outcomes with it: whoever repeats those calls gets
 // "unknown" instead of the answer.
-func (k *Deduplicator) Wait(ctx context.Context) error { return k.queue.wait(ctx) }
+func (k *Deduplicator) Flush(ctx context.Context) error { return k.queue.wait(ctx) }
 
 func (k *Deduplicator) attempt() recorder.Attempt {
 	k.mu.Lock()
--- a/entry/process/deduplicator/deduplicator_test.go
+++ b/entry/process/deduplicator/deduplicator_test.go
@@ -22,7 +22,7 @@
 	first := a.Begin(bounded(t), c)
 	assert.Assert(t, first.Ticket != nil)
 	assert.NilError(t, first.Ticket.Check())
-	first.Ticket.Done(ok("booked"))
+	first.Ticket.Complete(ok("booked"))
 	first.Ticket.Abandon() // the first word counts
 
 	for _, k := range []vm{a, b} {
@@ -52,7 +52,7 @@
 func TestLongBodyIsNotKept(t *testing.T) {
 	k := run(t, newLog(), "a", 1, nobodyGone)
 	c := call(keyMade(time.Now(), 1))
-	k.Begin(bounded(t), c).Ticket.Done(ok(strings.Repeat("x", 101)))
+	k.Begin(bounded(t), c).Ticket.Complete(ok(strings.Repeat("x", 101)))
 	again := k.Begin(bounded(t), c).Outcome
 	assert.Assert(t, again.Status == 200 && !again.Kept && again.Body == nil)
 }
@@ -64,9 +64,9 @@
 	a, b := run(t, log, "a", 1, nobodyGone), run(t, log, "b", 1, nobodyGone)
 	c := call(keyMade(time.Now(), 1))
 	first := a.Begin(bounded(t), c).Ticket
-	answers := make(chan deduplicator.Answer)
+	answers := make(chan deduplicator.Decision)
 	go func() { answers <- b.Begin(bounded(t), c) }()
-	first.Done(ok("booked"))
+	first.Complete(ok("booked"))
 	assert.Equal(t, string((<-answers).Outcome.Body), "booked")
 }
 
@@ -87,12 +87,12 @@
 	a, b := run(t, log, "a", 1, nobodyGone), run(t, log, "b", 1, nobodyGone)
 	c := call(keyMade(time.Now(), 1))
 	first := a.Begin(bounded(t), c).Ticket
-	answers := make(chan deduplicator.Answer)
+	answers := make(chan deduplicator.Decision)
 	go func() { answers <- b.Begin(bounded(t), c) }()
 	first.Abandon()
 	second := (<-answers).Ticket
 	assert.Assert(t, second != nil)
-	second.Done(ok("by b"))
+	second.Complete(ok("by b"))
 	assert.Equal(t, string(a.Begin(bounded(t), c).Outcome.Body), "by b")
 }
 
@@ -137,7 +137,7 @@
 			defer cancel()
 			answer := k.Begin(ctx, c)
 			if test.code == "" {
-				answer.Ticket.Done(ok("booked"))
+				answer.Ticket.Complete(ok("booked"))
 				return
 			}
 			assert.Equal(t, answer.Refusal.Code, test.code)
@@ -170,11 +170,11 @@
 	log := newLog()
 	k := run(t, log, "a", 1, nobodyGone)
 	settled, open := call(keyMade(time.Now(), 1)), call(keyMade(time.Now(), 2))
-	k.Begin(bounded(t), settled).Ticket.Done(ok("booked"))
-	assert.NilError(t, k.Wait(bounded(t)))
+	k.Begin(bounded(t), settled).Ticket.Complete(ok("booked"))
+	assert.NilError(t, k.Flush(bounded(t)))
 	ticket := k.Begin(bounded(t), open).Ticket
 	log.setDown(true)
-	ticket.Done(ok("also booked"))
+	ticket.Complete(ok("also booked"))
 	r := k.Begin(bounded(t), call(keyMade(time.Now(), 3))).Refusal
 	assert.Equal(t, r.Code, "keys_unready")
 	assert.Equal(t, r.Ran, refuser.RanNo)
@@ -184,9 +184,9 @@
 	assert.Assert(t, k.Pending() > 0)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
-	assert.Assert(t, k.Wait(ctx) != nil)
+	assert.Assert(t, k.Flush(ctx) != nil)
 	log.setDown(false)
-	assert.NilError(t, k.Wait(bounded(t)))
+	assert.NilError(t, k.Flush(bounded(t)))
 	assert.Equal(t, k.Pending(), 0)
 	b := run(t, log, "b", 1, nobodyGone)
 	assert.Equal(t, string(b.Begin(bounded(t), open).Outcome.Body), "also booked")
@@ -234,7 +234,7 @@
 // new calls are refused, though the log keeps up.
 func TestRush(t *testing.T) {
 	const callers, calls = 768, 5
-	k := runAt(t, newLog(), "a", 1, nobodyGone, deduplicator.DefaultPace)
+	k := runAt(t, newLog(), "a", 1, nobodyGone, deduplicator.DefaultAppendInterval)
 	ctx := bounded(t)
 	var refusals atomic.Int64
 	var all sync.WaitGroup
@@ -246,7 +246,7 @@
 					refusals.Add(1)
 					continue
 				}
-				a.Ticket.Done(ok("booked"))
+				a.Ticket.Complete(ok("booked"))
 			}
 		})
 	}
@@ -272,7 +272,7 @@
 		assert.Equal(t, r.Ran, test.ran)
 	}
 	free := call("booking 1")
-	free.Dated = false
+	free.Timestamped = false
 	assert.Assert(t, k.Begin(bounded(t), free).Ticket != nil)
 }
 
@@ -280,7 +280,7 @@
 // long been told that the call failed; the booking must not be made then.
 func TestTicketGoesStale(t *testing.T) {
 	free := call("booking 1")
-	free.Dated = false
+	free.Timestamped = false
 	tests := []struct {
 		name  string
 		call  deduplicator.Call
--- a/entry/process/deduplicator/fake_test.go
+++ b/entry/process/deduplicator/fake_test.go
@@ -160,8 +160,8 @@
 	now := func() time.Time { return time.Now().Add(time.Duration(skipped.Load())) }
 	timer := ticker.New(now, time.Millisecond)
 	k := deduplicator.New(deduplicator.Config{
-		VM: name, Boot: boot, Body: 100, Pace: pace,
-		Limits: deduplicator.Limits{Window: time.Hour, Margin: deduplicator.DefaultMargin},
+		VM: name, Boot: boot, MaxStoredBody: 100, AppendInterval: pace,
+		Limits: deduplicator.Limits{Window: time.Hour, MaxClockSkew: deduplicator.DefaultMaxClockSkew},
 	}, log, timer, gone, noMeter{})
 	ctx, cancel := context.WithCancel(t.Context())
 	var all sync.WaitGroup
@@ -199,7 +199,7 @@
 
 // call is a booking with a key.
 func call(key string) deduplicator.Call {
-	return deduplicator.Call{Team: "t", Service: "s", Key: key, Method: "POST", Path: "/seats", Body: []byte("seat 7"), Dated: true}
+	return deduplicator.Call{Team: "t", Service: "s", Key: key, Method: "POST", Path: "/seats", Body: []byte("seat 7"), Timestamped: true}
 }
 
 func ok(body string) recorder.Outcome {
--- a/entry/process/deduplicator/history_test.go
+++ b/entry/process/deduplicator/history_test.go
@@ -104,7 +104,7 @@
 func (s *storm) try(ctx context.Context, key string, id int) result {
 	name := fmt.Sprint(id)
 	c := call(key)
-	c.Dated = false // the keys are made at a fixed time
+	c.Timestamped = false // the keys are made at a fixed time
 	a := s.vms[id%len(s.vms)].Begin(ctx, c)
 	switch {
 	case a.Outcome != nil:
@@ -120,6 +120,6 @@
 	s.mu.Lock()
 	s.runs[key] = append(s.runs[key], name)
 	s.mu.Unlock()
-	a.Ticket.Done(ok(name))
+	a.Ticket.Complete(ok(name))
 	return result{"ran", name}
 }
--- a/entry/process/deduplicator/judge.go
+++ b/entry/process/deduplicator/judge.go
@@ -95,21 +95,21 @@
 type Limits struct {
 	// Window is how long a key is known after its first use.
 	Window time.Duration
-	// Margin bounds how far any two of the clocks of callers, VMs and the log
+	// MaxClockSkew bounds how far any two of the clocks of callers, VMs and the log
 	// are apart.
-	Margin time.Duration
+	MaxClockSkew time.Duration
 }
 
 // Keep is how long the Ledger must know a key so that every key that Check lets
 // pass is still known, if it was ever used: the caller's clock may be ahead of
 // the first VM's, that ahead of the log's, and the second VM's behind the log's.
-func (l Limits) Keep() time.Duration { return l.Window + 3*l.Margin }
+func (l Limits) Keep() time.Duration { return l.Window + 3*l.MaxClockSkew }
 
 // Life is how long after its call came a ticket may be used. It ends before the
 // window does by more than a VM may be behind the log when it takes a call
 // (stale), so that no intent that landed before the call came can have been
 // forgotten when the ticket is used.
-func (l Limits) Life() time.Duration { return max(l.Window-2*l.Margin, l.Window/2) }
+func (l Limits) Life() time.Duration { return max(l.Window-2*l.MaxClockSkew, l.Window/2) }
 
 // Check says whether a key may be run at a time, given that no call since a
 // time was missed.
@@ -122,7 +122,7 @@
 // caller's word that it isn't older.
 func (l Limits) Check(key string, dated bool, since, now time.Time) error {
 	if !dated {
-		if known := since.Add(l.Window + 2*l.Margin); !since.IsZero() && now.Before(known) {
+		if known := since.Add(l.Window + 2*l.MaxClockSkew); !since.IsZero() && now.Before(known) {
 			return ErrMissed.New("calls before %s were not read", since.UTC().Format(time.RFC3339))
 		}
 		return nil
@@ -134,9 +134,9 @@
 	switch {
 	case made.Before(now.Add(-l.Window)):
 		return ErrOld.New("made %s, keys are known for %s", made.Format(time.RFC3339), l.Window)
-	case made.After(now.Add(l.Margin)):
+	case made.After(now.Add(l.MaxClockSkew)):
 		return ErrFuture.New("made %s, now is %s", made.Format(time.RFC3339), now.UTC().Format(time.RFC3339))
-	case !since.IsZero() && made.Before(since.Add(3*l.Margin)):
+	case !since.IsZero() && made.Before(since.Add(3*l.MaxClockSkew)):
 		return ErrMissed.New("calls before %s were not read", since.UTC().Format(time.RFC3339))
 	}
 	return nil
--- a/entry/process/deduplicator/ledger_test.go
+++ b/entry/process/deduplicator/ledger_test.go
@@ -160,7 +160,7 @@
 }
 
 func TestCheck(t *testing.T) {
-	l := deduplicator.Limits{Window: time.Hour, Margin: time.Minute}
+	l := deduplicator.Limits{Window: time.Hour, MaxClockSkew: time.Minute}
 	now := start
 	since := now.Add(-30 * time.Minute)
 	fresh := keyMade(now, 1)
@@ -200,7 +200,7 @@
 // first intent of the key among them. The VM wakes and reads its own as the
 // first; were it to send, the member would have two bookings.
 func TestWakesAfterRecordsWereDropped(t *testing.T) {
-	limits := deduplicator.Limits{Window: time.Hour, Margin: time.Second}
+	limits := deduplicator.Limits{Window: time.Hour, MaxClockSkew: time.Second}
 	l := deduplicator.NewLedger(limits.Keep())
 	l.Read(batch(t, 1), start)
 	a := attempt("a", 1)
--- a/entry/process/deduplicator/model_test.go
+++ b/entry/process/deduplicator/model_test.go
@@ -50,7 +50,7 @@
 
 func newModel(t *rapid.T) *model {
 	m := &model{
-		limits: deduplicator.Limits{Window: 100 * time.Second, Margin: 5 * time.Second},
+		limits: deduplicator.Limits{Window: 100 * time.Second, MaxClockSkew: 5 * time.Second},
 		now:    start, start: 1, runs: make(map[string]int),
 	}
 	for i := range 3 {
--- a/entry/process/deduplicator/ticket.go
+++ b/entry/process/deduplicator/ticket.go
@@ -28,13 +28,13 @@
 }
 
 // ticket is the answer to an attempt that won.
-func (k *Deduplicator) ticket(ctx context.Context, c Call, key recorder.Hash, a recorder.Attempt, begun time.Time) Answer {
+func (k *Deduplicator) ticket(ctx context.Context, c Call, key recorder.Hash, a recorder.Attempt, begun time.Time) Decision {
 	k.mu.Lock()
 	l := k.config.Limits
 	k.mu.Unlock()
 	k.meter.Count("deduplicator.won", 1)
-	return Answer{Ticket: &Ticket{
-		deduplicator: k, key: key, attempt: a, word: c.Key, dated: c.Dated, begun: begun, limits: l, ctx: ctx,
+	return Decision{Ticket: &Ticket{
+		deduplicator: k, key: key, attempt: a, word: c.Key, dated: c.Timestamped, begun: begun, limits: l, ctx: ctx,
 	}}
 }
 
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// Done says what became of the call once any of it may have been sent.
-func (t *Ticket) Done(o recorder.Outcome) {
+// Complete says what became of the call once any of it may have been sent.
+func (t *Ticket) Complete(o recorder.Outcome) {
 	t.once.Do(func() {
 		o = t.deduplicator.short(o)
 		t.deduplicator.learn(t.key, t.attempt, o)
@@ -93,7 +93,7 @@
 	if o.Unknown {
 		return recorder.Outcome{Unknown: true}
 	}
-	o.Kept = len(o.Body) <= k.config.Body
+	o.Kept = len(o.Body) <= k.config.MaxStoredBody
 	if !o.Kept {
 		o.Body = nil
 	}
--- a/entry/process/server/configure.go
+++ b/entry/process/server/configure.go
@@ -20,7 +20,7 @@
 		v.log.Info().Uint64("version", view.Version).Msg("configuration in force")
 	}
 	v.meter.Count("configuration.changes", 1)
-	v.deduplicator.Limit(deduplicator.Limits{Window: time.Duration(view.Manifest.Window), Margin: deduplicator.DefaultMargin})
+	v.deduplicator.SetLimits(deduplicator.Limits{Window: time.Duration(view.Manifest.Window), MaxClockSkew: deduplicator.DefaultMaxClockSkew})
 	v.coordinator.Configure(upstreams(view), view.Manifest.Seats)
 	if err := v.dispatcher.Configure(view); err != nil {
 		v.log.Error().Err(err).Msg("the configuration could not be put in force")
--- a/entry/process/server/coordination.go
+++ b/entry/process/server/coordination.go
@@ -39,7 +39,7 @@
 		Ticker: v.ticker, Registry: v.meter.Registry(), Logger: v.log,
 	})
 	v.canceller = canceller.New(v.upstream, v.ticker, v.meter.Registry())
-	v.deduplicator = deduplicator.New(deduplicator.Config{VM: s.ID, Boot: v.boot, Limits: deduplicator.Limits{Window: firstWindow, Margin: deduplicator.DefaultMargin}, Body: deduplicator.DefaultBody}, v.records, v.ticker, v.coordinator.Gone, v.meter)
+	v.deduplicator = deduplicator.New(deduplicator.Config{VM: s.ID, Boot: v.boot, Limits: deduplicator.Limits{Window: firstWindow, MaxClockSkew: deduplicator.DefaultMaxClockSkew}, MaxStoredBody: deduplicator.DefaultMaxStoredBody}, v.records, v.ticker, v.coordinator.Gone, v.meter)
 }
 
 // read is how far this VM has read the configuration, for heartbeats.
--- a/entry/process/server/leave.go
+++ b/entry/process/server/leave.go
@@ -50,7 +50,7 @@
 	}
 	<-handed
 	wait(cancelTime, v.canceller.Wait)
-	if !wait(keepTime, v.deduplicator.Wait) {
+	if !wait(keepTime, v.deduplicator.Flush) {
 		v.log.Warn().Int("outcomes", v.deduplicator.Pending()).Msg("the log did not take all outcomes of keyed calls")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
--- a/entry/request/passer/keyed.go
+++ b/entry/request/passer/keyed.go
@@ -21,7 +21,7 @@
 
 // A Deduplicator judges calls with a key.
 type Deduplicator interface {
-	Begin(ctx context.Context, c deduplicator.Call) deduplicator.Answer
+	Begin(ctx context.Context, c deduplicator.Call) deduplicator.Decision
 }
 
 // keyed answers a call that carries a key: with the outcome of the first call
@@ -29,7 +29,7 @@
 func (p *Passer) keyed(ctx context.Context, w http.ResponseWriter, c *call, key string) {
 	a := p.deps.Deduplicator.Begin(ctx, deduplicator.Call{
 		Team: c.team.Name, Service: c.service, Key: key, Method: c.method, Path: c.path, Body: c.body.Data,
-		Dated: c.view.Manifest.Services[c.service].Keys != "any",
+		Timestamped: c.view.Manifest.Services[c.service].Keys != "any",
 	})
 	switch {
 	case a.Refusal != nil:
@@ -55,11 +55,11 @@
 	})
 	switch {
 	case o.answer != nil && o.answer.ran == refuser.RanYes:
-		t.Done(o.answer.outcome())
+		t.Complete(o.answer.outcome())
 	case o.answer == nil && o.refusal.Ran == refuser.RanNo:
 		t.Abandon()
 	default:
-		t.Done(recorder.Outcome{Unknown: true})
+		t.Complete(recorder.Outcome{Unknown: true})
 	}
 	p.answer(w, o)
 }
