--- a/entry/process/deduplicator/batcher.go
+++ b/entry/process/deduplicator/batcher.go
@@ -10,46 +10,49 @@
 )
 
 const (
-	// maxBytes bounds the bodies and headers of one record, well under the
-	// log's bound of 1 MiB.
-	maxBytes = 512 << 10
-	// entryBytes is what an entry has beside its body and headers, at most.
-	entryBytes = 256
-	// maxNotes is how many outcomes may wait before new calls are refused.
-	maxNotes = 2048
-	// appendLimit is how long one append may take.
-	appendLimit = 3 * time.Second
-	// maxSkip bounds the wait after failed appends, in paces: 1.6 s by default.
-	maxSkip = 64
+	// maxRecordBytes bounds the bodies and headers of one record, well under the
+	// log's limit of 1 MiB.
+	maxRecordBytes = 512 << 10
+	// entryOverhead is the maximum encoded size of an entry without its body and
+	// headers.
+	entryOverhead = 256
+	// maxPendingResults is how many results may be pending before new calls are
+	// refused.
+	maxPendingResults = 2048
+	// appendTimeout bounds one append.
+	appendTimeout = 3 * time.Second
+	// maxBackoff bounds the wait after failed appends, in append intervals: 1.6 s
+	// by default.
+	maxBackoff = 64
 )
 
-// A batcher appends entries, several to a record. Intents are tried once, as
-// their callers wait; outcomes and abandonments until they land, which may have
-// them land twice.
+// A batcher appends entries, several to a record. Intents are tried once, because
+// their callers wait. Results, which are outcomes and abandonments, are retried
+// until an append succeeds, and may therefore be appended twice.
 type batcher struct {
-	log    Log
-	meter  Meter
-	work   chan struct{} // there is something to append
-	tick   chan struct{} // the time of one pace is over
-	failed int           // appends in a row; used by run alone
-
-	mu      sync.Mutex
-	intents []item
-	notes   []item
-	sending int           // notes in the append under way
-	empty   chan struct{} // closed when no note waits any more
-	marked  bool
+	log      Log
+	meter    Meter
+	work     chan struct{} // notified when there is something to append
+	tick     chan struct{} // notified once per append interval
+	failures int           // consecutive failed appends; used only by run
+
+	mu          sync.Mutex
+	intents     []item
+	results     []item
+	inFlight    int           // results in the current append
+	drained     chan struct{} // closed when no result is pending any more
+	emptyQueued bool
 }
 
-// An item is one entry to append; refused is poked where it certainly did not
-// land and is not tried again.
+// An item is one entry to append. refused is notified if the entry was certainly not
+// appended and is not retried.
 type item struct {
 	entry   recorder.CallEntry
 	refused chan struct{}
 }
 
 func newBatcher(log Log, meter Meter) *batcher {
-	return &batcher{log: log, meter: meter, work: make(chan struct{}, 1), tick: make(chan struct{}, 1), empty: make(chan struct{})}
+	return &batcher{log: log, meter: meter, work: make(chan struct{}, 1), tick: make(chan struct{}, 1), drained: make(chan struct{})}
 }
 
 // post queues an entry.
@@ -58,46 +61,46 @@
 	if e.Intent != nil {
 		b.intents = append(b.intents, item{e, refused})
 	} else {
-		b.notes = append(b.notes, item{e, nil})
+		b.results = append(b.results, item{e, nil})
 	}
 	b.mu.Unlock()
-	poke(b.work)
+	notify(b.work)
 }
 
-// mark queues an empty record.
-func (b *batcher) mark() {
+// postEmpty queues an empty record.
+func (b *batcher) postEmpty() {
 	b.mu.Lock()
-	b.marked = true
+	b.emptyQueued = true
 	b.mu.Unlock()
-	poke(b.work)
+	notify(b.work)
 }
 
 func (b *batcher) pending() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.notes) + b.sending
+	return len(b.results) + b.inFlight
 }
 
-func (b *batcher) crowded() bool { return b.pending() > maxNotes }
+func (b *batcher) overloaded() bool { return b.pending() > maxPendingResults }
 
-// wait returns when no note waits, or when the context ends.
-func (b *batcher) wait(ctx context.Context) error {
+// flush returns when no result is pending, or when the context ends.
+func (b *batcher) flush(ctx context.Context) error {
 	for {
 		b.mu.Lock()
-		n, empty := len(b.notes)+b.sending, b.empty
+		n, drained := len(b.results)+b.inFlight, b.drained
 		b.mu.Unlock()
 		if n == 0 {
 			return nil
 		}
 		select {
-		case <-empty:
+		case <-drained:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// run appends until the context ends.
+// run appends records until the context ends.
 func (b *batcher) run(ctx context.Context) error {
 	for {
 		select {
@@ -105,18 +108,18 @@
 			return ctx.Err()
 		case <-b.work:
 		}
-		if b.send(ctx) {
-			poke(b.work)
+		if b.appendNext(ctx) {
+			notify(b.work)
 		}
-		if err := b.rest(ctx); err != nil {
+		if err := b.backOff(ctx); err != nil {
 			return err
 		}
 	}
 }
 
-// rest waits one pace, and more after failures.
-func (b *batcher) rest(ctx context.Context) error {
-	for range min(1<<min(b.failed, 10), maxSkip) {
+// backOff waits one append interval, and longer after failures.
+func (b *batcher) backOff(ctx context.Context) error {
+	for range min(1<<min(b.failures, 10), maxBackoff) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -126,76 +129,77 @@
 	return nil
 }
 
-// send appends one record, and reports whether more is queued.
-func (b *batcher) send(ctx context.Context) bool {
-	items := b.take()
+// appendNext appends one record, and reports whether more is queued.
+func (b *batcher) appendNext(ctx context.Context) bool {
+	items := b.nextItems()
 	if items == nil {
 		return false
 	}
 	err := b.append(ctx, items)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sending = 0
+	b.inFlight = 0
 	if err == nil {
-		b.failed = 0
-		if len(b.notes) == 0 {
-			close(b.empty)
-			b.empty = make(chan struct{})
+		b.failures = 0
+		if len(b.results) == 0 {
+			close(b.drained)
+			b.drained = make(chan struct{})
 		}
-		return len(b.intents)+len(b.notes) > 0
+		return len(b.intents)+len(b.results) > 0
 	}
-	b.failed++
+	b.failures++
 	b.meter.Count("deduplicator.append.failed", 1)
-	b.again(items, appender.ErrRefused.Has(err))
-	return len(b.intents)+len(b.notes) > 0
+	b.requeue(items, appender.ErrRefused.Has(err))
+	return len(b.intents)+len(b.results) > 0
 }
 
-// again queues notes once more, and tells the callers of refused intents. After
-// an append that may have landed intents are neither: the log tells.
-func (b *batcher) again(items []item, refused bool) {
-	var notes []item
+// requeue queues results again, and notifies the callers of refused intents. If an
+// append may have taken effect, it does neither for intents: reading the log shows
+// whether they were appended.
+func (b *batcher) requeue(items []item, refused bool) {
+	var results []item
 	for _, i := range items {
 		switch {
 		case i.entry.Intent == nil:
-			notes = append(notes, i)
+			results = append(results, i)
 		case refused:
-			poke(i.refused)
+			notify(i.refused)
 		}
 	}
-	b.notes = append(notes, b.notes...)
+	b.results = append(results, b.results...)
 }
 
-// take removes the next record's items; nil means that there is nothing. Where
-// both wait, intents get half of a record: callers wait for them, but a record
-// full of intents would leave the outcomes of those before them behind for as
-// long as the rush lasts.
-func (b *batcher) take() []item {
+// nextItems removes and returns the next record's items; nil means that there is
+// nothing to append. Up to half of a record is reserved for results: callers wait
+// for intents, but records full of intents would delay the outcomes of earlier
+// calls for as long as the load lasts.
+func (b *batcher) nextItems() []item {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.intents)+len(b.notes) == 0 && !b.marked {
+	if len(b.intents)+len(b.results) == 0 && !b.emptyQueued {
 		return nil
 	}
-	b.marked = false
-	most := recorder.MostCalls
-	notes := min(len(b.notes), most/2)
-	n := min(len(b.intents), most-notes)
-	items := append(make([]item, 0, most), b.intents[:n]...)
-	b.intents = b.intents[n:]
-	size := n * entryBytes
-	for len(b.notes) > 0 && len(items) < most {
-		size += sizeOf(b.notes[0].entry)
-		if size > maxBytes {
+	b.emptyQueued = false
+	limit := recorder.MostCalls
+	results := min(len(b.results), limit/2)
+	intents := min(len(b.intents), limit-results)
+	items := append(make([]item, 0, limit), b.intents[:intents]...)
+	b.intents = b.intents[intents:]
+	size := intents * entryOverhead
+	for len(b.results) > 0 && len(items) < limit {
+		size += sizeOf(b.results[0].entry)
+		if size > maxRecordBytes {
 			break
 		}
-		items = append(items, b.notes[0])
-		b.notes = b.notes[1:]
-		b.sending++
+		items = append(items, b.results[0])
+		b.results = b.results[1:]
+		b.inFlight++
 	}
 	return items
 }
 
 func sizeOf(e recorder.CallEntry) int {
-	size := entryBytes
+	size := entryOverhead
 	if e.Outcome != nil {
 		size += len(e.Outcome.Body)
 		for name, value := range e.Outcome.Header {
@@ -214,7 +218,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, appendLimit)
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	b.meter.Count("deduplicator.appends", 1)
 	b.meter.Count("deduplicator.entries", int64(len(items)))
--- a/entry/process/deduplicator/bench_test.go
+++ b/entry/process/deduplicator/bench_test.go
@@ -13,10 +13,11 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// entries are the two entries of n calls, with a confirmation of some length.
-func entries(n, body int) []recorder.CallEntry {
+// entries returns the intents and outcomes of n calls; each outcome has a body of
+// bodySize bytes.
+func entries(n, bodySize int) []recorder.CallEntry {
 	list := make([]recorder.CallEntry, 0, 2*n)
-	o := ok(strings.Repeat("x", body))
+	o := ok(strings.Repeat("x", bodySize))
 	o.Kept = true
 	for i := range n {
 		key := recorder.Hash{byte(i), byte(i >> 8), byte(i >> 16)}
@@ -30,9 +31,8 @@
 	return list
 }
 
-// BenchmarkLedger reads calls as every VM does, 16 entries to a record, and
-// reports the bytes of one call on the log, and the bytes of memory that one
-// key takes.
+// BenchmarkLedger applies calls as every VM does, 16 entries to a record. It reports
+// the bytes of one call in the log and the memory of one key.
 func BenchmarkLedger(b *testing.B) {
 	const keys, perRecord = 16_384, 16
 	list := entries(keys, 300)
@@ -51,7 +51,7 @@
 	var l *deduplicator.Ledger
 	for b.Loop() {
 		l = deduplicator.NewLedger(time.Hour)
-		l.Read(read, start)
+		l.ApplyRecords(read, start)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -63,21 +63,21 @@
 	runtime.KeepAlive(records)
 }
 
-// BenchmarkDeduplicator judges calls, 64 at once, on a log in memory, and reports how
-// many calls share an append.
+// BenchmarkDeduplicator runs calls, 64 per processor at once, on an in-memory log,
+// and reports the number of calls per append.
 func BenchmarkDeduplicator(b *testing.B) {
 	log := newLog()
-	k := runAt(b, log, "a", 1, nobodyGone, deduplicator.DefaultAppendInterval)
+	d := runWithInterval(b, log, "a", 1, neverGone, deduplicator.DefaultAppendInterval)
 	keys := make(chan string, b.N)
 	for n := range b.N {
-		keys <- keyMade(time.Now(), n)
+		keys <- uuidAt(time.Now(), n)
 	}
 	close(keys)
 	b.SetParallelism(64)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			a := k.Begin(b.Context(), call(<-keys))
+			a := d.Begin(b.Context(), call(<-keys))
 			if a.Ticket == nil {
 				b.Errorf("refused: %v", a.Refusal)
 				return
--- a/entry/process/deduplicator/fake_test.go
+++ b/entry/process/deduplicator/fake_test.go
@@ -22,14 +22,14 @@
 
 const (
 	none    fault = iota
-	refused       // nothing lands
-	lost          // lands, and its answer is lost
-	never         // neither lands nor answers
-	late          // lands at the next append, and its answer is lost
-	twice         // lands twice
+	refused       // nothing is stored
+	lost          // stored, but the response is lost
+	never         // not stored, and the response is lost
+	late          // stored at the next append, and the response is lost
+	twice         // stored twice
 )
 
-// A fakeLog is a log in memory whose appends may fail.
+// A fakeLog is an in-memory log with injected append faults.
 type fakeLog struct {
 	mu      sync.Mutex
 	grown   chan struct{}
@@ -41,15 +41,15 @@
 
 func newLog() *fakeLog { return &fakeLog{grown: make(chan struct{})} }
 
-// set changes the faults of the appends to come.
-func (l *fakeLog) set(faults func([]byte) fault) {
+// setFaults changes the faults of future appends.
+func (l *fakeLog) setFaults(faults func([]byte) fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = faults
 }
 
-// first applies a fault to the first record that holds an entry.
-func first(f fault) func([]byte) fault {
+// onFirstEntry returns faults that apply f to the first record with an entry.
+func onFirstEntry(f fault) func([]byte) fault {
 	done := false
 	return func(data []byte) fault {
 		b, err := recorder.UnwrapCalls(data)
@@ -67,7 +67,7 @@
 	l.down = down
 }
 
-func (l *fakeLog) land(data []byte) {
+func (l *fakeLog) store(data []byte) {
 	l.records = append(l.records, appender.Record{Offset: uint64(len(l.records) + 1), At: time.Now(), Data: data})
 	close(l.grown)
 	l.grown = make(chan struct{})
@@ -84,7 +84,7 @@
 		f = refused
 	}
 	for _, d := range l.late {
-		l.land(d)
+		l.store(d)
 	}
 	l.late = nil
 	switch f {
@@ -96,10 +96,10 @@
 		l.late = append(l.late, data)
 		return 0, appender.ErrUnknown.New("late")
 	case twice:
-		l.land(data)
+		l.store(data)
 	default:
 	}
-	l.land(data)
+	l.store(data)
 	if f == lost {
 		return 0, appender.ErrUnknown.New("lost")
 	}
@@ -134,70 +134,70 @@
 
 func (noMeter) Count(string, int64) {}
 
-// pace is the pace of most tests, to keep them short.
-const pace = 2 * time.Millisecond
+// testInterval is the append interval of most tests, to keep them short.
+const testInterval = 2 * time.Millisecond
 
 // A vm is a running Deduplicator.
 type vm struct {
 	*deduplicator.Deduplicator
-	stop    func()
-	skipped *atomic.Int64 // how far its clock was put forward
+	stop        func()
+	clockOffset *atomic.Int64 // how far its clock is ahead, in nanoseconds
 }
 
-// skip lets time pass at one VM, as a freeze does.
-func (v vm) skip(d time.Duration) { v.skipped.Add(int64(d)) }
+// advance moves the clock of one VM forward, as a freeze does.
+func (v vm) advance(d time.Duration) { v.clockOffset.Add(int64(d)) }
 
 // run starts a Deduplicator on a log and waits until it is ready.
 func run(t testing.TB, log deduplicator.Log, name string, boot uint64, gone func(string, uint64) bool) vm {
 	t.Helper()
-	return runAt(t, log, name, boot, gone, pace)
+	return runWithInterval(t, log, name, boot, gone, testInterval)
 }
 
-// runAt is run with a pace.
-func runAt(t testing.TB, log deduplicator.Log, name string, boot uint64, gone func(string, uint64) bool, pace time.Duration) vm {
+// runWithInterval is run with an append interval.
+func runWithInterval(t testing.TB, log deduplicator.Log, name string, boot uint64, gone func(string, uint64) bool, interval time.Duration) vm {
 	t.Helper()
-	var skipped atomic.Int64
-	now := func() time.Time { return time.Now().Add(time.Duration(skipped.Load())) }
+	var clockOffset atomic.Int64
+	now := func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
 	timer := ticker.New(now, time.Millisecond)
-	k := deduplicator.New(deduplicator.Config{
-		VM: name, Boot: boot, MaxStoredBody: 100, AppendInterval: pace,
+	d := deduplicator.New(deduplicator.Config{
+		VM: name, Boot: boot, MaxStoredBody: 100, AppendInterval: interval,
 		Limits: deduplicator.Limits{Window: time.Hour, MaxClockSkew: deduplicator.DefaultMaxClockSkew},
 	}, log, timer, gone, noMeter{})
 	ctx, cancel := context.WithCancel(t.Context())
 	var all sync.WaitGroup
-	all.Go(func() { k.Run(ctx) }) //nolint:errcheck // it ends with the context's error
+	all.Go(func() { d.Run(ctx) }) //nolint:errcheck // it returns the context's error
 	all.Go(func() { timer.Run(ctx) })
 	stop := sync.OnceFunc(func() {
 		cancel()
 		all.Wait()
 	})
 	t.Cleanup(stop)
-	await(t, func() bool { return k.Ready() == nil })
-	return vm{k, stop, &skipped}
+	waitUntil(t, func() bool { return d.Ready() == nil })
+	return vm{d, stop, &clockOffset}
 }
 
-// await waits for a condition, far longer than it should take.
-func await(t testing.TB, condition func() bool) {
+// waitUntil waits for a condition, for much longer than it should take.
+func waitUntil(t testing.TB, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !condition(); {
 		if time.Now().After(end) {
-			t.Fatal("the condition did not come about in 30 s")
+			t.Fatal("the condition was not met within 30 s")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// bounded is a context that ends a test that hangs.
-func bounded(t *testing.T) context.Context {
+// testContext returns a context that ends a test that hangs.
+func testContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func nobodyGone(string, uint64) bool { return false }
+func neverGone(string, uint64) bool { return false }
 
-// call is a booking with a key.
+// call returns a booking with a key.
 func call(key string) deduplicator.Call {
 	return deduplicator.Call{Team: "t", Service: "s", Key: key, Method: "POST", Path: "/seats", Body: []byte("seat 7"), Timestamped: true}
 }
--- a/entry/process/deduplicator/history_test.go
+++ b/entry/process/deduplicator/history_test.go
@@ -14,15 +14,16 @@
 	"github.com/heathervane/heathervane/entry/request/refuser"
 )
 
-// A result is what one caller saw.
+// A result is what one caller observed.
 type result struct {
-	kind string // ran, replayed, unknown or none
-	by   string // whose call's answer it got
+	kind   string // ran, replayed, unknown or none
+	winner string // the caller whose call produced the response
 }
 
-// history is the sequential meaning of calls with one key: the first that runs
-// settles it, and every later answer is that one's.
-var history = porcupine.NondeterministicModel{
+// sequentialModel is the sequential specification of calls with one key: the first
+// call that runs completes the key, and every later response is the response to that
+// call.
+var sequentialModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, _, output any) []any {
 		ran, _ := state.(string)
@@ -32,9 +33,9 @@
 			if ran != "" {
 				return nil
 			}
-			return []any{o.by}
+			return []any{o.winner}
 		case "replayed":
-			if ran != o.by {
+			if ran != o.winner {
 				return nil
 			}
 			return []any{ran}
@@ -44,8 +45,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// A storm is many calls with a few keys at once, and what was seen of them.
-type storm struct {
+// A workload is many concurrent calls with a few keys, and the observed results.
+type workload struct {
 	*testing.T
 	vms []vm
 
@@ -54,30 +55,30 @@
 	operations map[string][]porcupine.Operation
 }
 
-// Members repeat bookings through several VMs at once, while appends are
-// refused, lost, late and doubled. The service gets each booking once at most,
-// and all who get an answer get that one's. When the log is well again no key
-// is stuck: the next call runs, or gets the outcome.
+// Callers repeat bookings through several VMs at once, while appends are refused,
+// lost, delayed and duplicated. The service must get each booking at most once, and
+// every response must be the response to that call. Once the log works again, no key
+// may be stuck: the next call must run or get the outcome.
 func TestHistories(t *testing.T) {
 	const vms, keys, callers = 3, 8, 12
 	log := newLog()
 	random := rand.New(rand.NewPCG(1, 2))
-	log.set(func([]byte) fault { return fault(random.IntN(10)) }) // none for 0 and from 6 up
-	s := &storm{T: t, runs: make(map[string][]string), operations: make(map[string][]porcupine.Operation)}
+	log.setFaults(func([]byte) fault { return fault(random.IntN(10)) }) // 0 and values above 5 mean no fault
+	s := &workload{T: t, runs: make(map[string][]string), operations: make(map[string][]porcupine.Operation)}
 	for i := range vms {
-		s.vms = append(s.vms, run(t, log, fmt.Sprint(i), 1, nobodyGone))
+		s.vms = append(s.vms, run(t, log, fmt.Sprint(i), 1, neverGone))
 	}
 	var all sync.WaitGroup
 	for n := range keys {
 		for id := range callers {
-			all.Go(func() { s.book(keyMade(start, n), id, 2*time.Second) })
+			all.Go(func() { s.book(uuidAt(start, n), id, 2*time.Second) })
 		}
 	}
 	all.Wait()
-	log.set(nil)
-	model := history.ToModel()
+	log.setFaults(nil)
+	model := sequentialModel.ToModel()
 	for n := range keys {
-		key := keyMade(start, n)
+		key := uuidAt(start, n)
 		last := s.book(key, callers+1, 30*time.Second)
 		assert.Assert(t, last.kind == "ran" || last.kind == "replayed", "%v", last)
 		assert.Equal(t, len(s.runs[key]), 1, "%v", s.runs[key])
@@ -85,26 +86,26 @@
 	}
 }
 
-// book makes one call and notes what came of it.
-func (s *storm) book(key string, id int, limit time.Duration) result {
+// book makes one call and records its result.
+func (s *workload) book(key string, id int, limit time.Duration) result {
 	ctx, cancel := context.WithTimeout(s.Context(), limit)
 	defer cancel()
-	began := time.Now().UnixNano()
-	r := s.try(ctx, key, id)
+	started := time.Now().UnixNano()
+	r := s.attempt(ctx, key, id)
 	ended := time.Now().UnixNano()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.operations[key] = append(s.operations[key], porcupine.Operation{
-		ClientId: id, Call: began, Output: r, Return: ended,
+		ClientId: id, Call: started, Output: r, Return: ended,
 	})
 	return r
 }
 
-// try makes one call; every third caller that is allowed to run sends nothing.
-func (s *storm) try(ctx context.Context, key string, id int) result {
+// attempt makes one call; every third caller that is permitted to send abandons.
+func (s *workload) attempt(ctx context.Context, key string, id int) result {
 	name := fmt.Sprint(id)
 	c := call(key)
-	c.Timestamped = false // the keys are made at a fixed time
+	c.Timestamped = false // the keys have a fixed creation time
 	a := s.vms[id%len(s.vms)].Begin(ctx, c)
 	switch {
 	case a.Outcome != nil:
--- a/entry/process/deduplicator/ledger.go
+++ b/entry/process/deduplicator/ledger.go
@@ -8,220 +8,222 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// A Ledger is what the stream of calls says about each key. It is a pure
-// function of the records in the log's order: two VMs that have read the same
-// records reach the same verdict. It takes no time from this machine but to
-// note when records may have been missed, and it is not safe for concurrent
-// use.
+// A Ledger is the state of each key as replayed from the stream of calls. It is a
+// pure function of the records in the log's order: two VMs that have read the same
+// records reach the same decision. It uses the local clock only to note when
+// records may have been missed. It is not safe for concurrent use.
 type Ledger struct {
-	keep    time.Duration
-	next    uint64    // offset to be read next, 0 before the first read
-	since   time.Time // no call from then on was missed; zero where none ever was
-	latest  time.Time // the log's time of the newest record
-	entries map[recorder.Hash]*entry
-	queue   []*entry // all, to be looked at for forgetting
-	bodied  []*entry // those with a kept body, the oldest outcome first
-	bodies  int      // bytes of kept bodies
+	retention     time.Duration
+	nextOffset    uint64    // offset to read next, 0 before the first read
+	completeSince time.Time // no call was missed since then; zero if none ever was
+	latestTime    time.Time // the log's time of the newest record
+	entries       map[recorder.Hash]*entry
+	expiryQueue   []*entry // all entries, in the order in which they are checked for expiry
+	withBody      []*entry // entries with a stored body, the oldest outcome first
+	bodyBytes     int      // total size of stored bodies
 }
 
-// maxBodies bounds the bytes of bodies that are kept over all keys, as a VM is
-// small. Past it a repetition learns of the first call's status only.
-const maxBodies = 16 << 20
+// maxTotalBodyBytes limits the stored bodies of all keys together, because a VM has
+// little memory. Beyond it a repetition gets only the status and headers of the
+// first call.
+const maxTotalBodyBytes = 16 << 20
 
-// An entry is what is known of one key.
+// An entry is the state of one key.
 type entry struct {
-	key     recorder.Hash
-	at      time.Time // the log's time of what last changed its claim
-	claimed bool
-	winner  recorder.Attempt
-	print   recorder.Hash
-	outcome *recorder.Outcome
-	// dead are attempts that were decided and do not hold the key: those that
-	// came second, and those that gave up. An append whose answer was lost may
-	// land late or twice, and an attempt must not win long after its VM has
-	// told its caller that nothing ran.
-	dead []recorder.Attempt
+	key         recorder.Hash
+	changedAt   time.Time // the log's time of the last change of the claim
+	claimed     bool
+	winner      recorder.Attempt
+	fingerprint recorder.Hash
+	outcome     *recorder.Outcome
+	// lost are attempts that were decided and do not hold the key: those whose
+	// intent was not the first, and those that were abandoned. An append whose
+	// response was lost may take effect late or twice, and an attempt must not win
+	// long after its VM has told its caller that nothing ran.
+	lost []recorder.Attempt
 }
 
-// NewLedger returns a Ledger that forgets a key when it was claimed longer than
-// keep ago by the log's time.
-func NewLedger(keep time.Duration) *Ledger {
-	return &Ledger{keep: keep, entries: make(map[recorder.Hash]*entry)}
+// NewLedger returns a Ledger that forgets a key once its claim is older than
+// retention by the log's time.
+func NewLedger(retention time.Duration) *Ledger {
+	return &Ledger{retention: retention, entries: make(map[recorder.Hash]*entry)}
 }
 
-// Next is the offset to read from.
-func (l *Ledger) Next() uint64 { return max(l.next, 1) }
+// NextOffset is the offset to read from.
+func (l *Ledger) NextOffset() uint64 { return max(l.nextOffset, 1) }
 
-// Since is the time from which on no call was missed; zero means ever.
-func (l *Ledger) Since() time.Time { return l.since }
+// CompleteSince is the time since which no call was missed; zero means that none
+// ever was.
+func (l *Ledger) CompleteSince() time.Time { return l.completeSince }
 
-// Latest is the log's time of the newest record.
-func (l *Ledger) Latest() time.Time { return l.latest }
+// LatestTime is the log's time of the newest record.
+func (l *Ledger) LatestTime() time.Time { return l.latestTime }
 
-// Keep changes how long keys are known. Keys that were forgotten already don't
-// come back, so a longer time moves Since.
-func (l *Ledger) Keep(keep time.Duration) {
-	if keep > l.keep && !l.latest.IsZero() {
-		l.missed(l.latest.Add(-l.keep))
+// SetRetention changes how long keys are remembered. Keys already forgotten don't
+// come back, so a longer retention advances CompleteSince.
+func (l *Ledger) SetRetention(retention time.Duration) {
+	if retention > l.retention && !l.latestTime.IsZero() {
+		l.markIncomplete(l.latestTime.Add(-l.retention))
 	}
-	l.keep = keep
+	l.retention = retention
 }
 
-// missed notes that records from before a time may have been missed.
-func (l *Ledger) missed(until time.Time) {
-	if until.After(l.since) {
-		l.since = until
+// markIncomplete notes that records older than until may have been missed.
+func (l *Ledger) markIncomplete(until time.Time) {
+	if until.After(l.completeSince) {
+		l.completeSince = until
 	}
 }
 
-// Read applies what was read at a time, and returns the keys that it touched
-// and how many records it skipped.
-func (l *Ledger) Read(b appender.Batch, now time.Time) (touched []recorder.Hash, skipped int) {
-	l.gaps(b, now)
+// ApplyRecords applies a batch that was read at time now. It returns the keys it
+// touched and the number of records it skipped.
+func (l *Ledger) ApplyRecords(b appender.Batch, now time.Time) (touched []recorder.Hash, skipped int) {
+	l.detectGaps(b, now)
 	for _, r := range b.Records {
 		calls, err := recorder.UnwrapCalls(r.Data)
 		if err != nil {
 			skipped++
 		}
-		// A VM of a later version may claim keys in a form not known here. A
-		// broken record is written by no version and claims none.
+		// A VM of a later version may claim keys in a format unknown here. A corrupt
+		// record is not written by any version and claims none.
 		if recorder.ErrVersion.Has(err) {
-			l.missed(r.At)
+			l.markIncomplete(r.At)
 		}
-		touched = append(touched, l.Apply(r.At, calls)...)
-		l.next = r.Offset + 1
+		touched = append(touched, l.ApplyRecord(r.At, calls)...)
+		l.nextOffset = r.Offset + 1
 	}
 	return touched, skipped
 }
 
-// gaps notes records that were dropped before they were read, and a log that
+// detectGaps notes records that were dropped before they were read, and a log that
 // lost its end. A key whose first intent is among them would look new and run
-// twice; Since has it refused instead.
-func (l *Ledger) gaps(b appender.Batch, now time.Time) {
-	l.next = l.Next()
+// twice; because of CompleteSince it is refused instead.
+func (l *Ledger) detectGaps(b appender.Batch, now time.Time) {
+	l.nextOffset = l.NextOffset()
 	switch {
-	case b.End < l.next:
-		l.next = b.Start
-		l.missed(now)
-	case b.Start > l.next && len(b.Records) > 0:
-		l.next = b.Start
-		l.missed(b.Records[0].At)
-	case b.Start > l.next:
-		l.next = b.Start
-		l.missed(now)
+	case b.End < l.nextOffset:
+		l.nextOffset = b.Start
+		l.markIncomplete(now)
+	case b.Start > l.nextOffset && len(b.Records) > 0:
+		l.nextOffset = b.Start
+		l.markIncomplete(b.Records[0].At)
+	case b.Start > l.nextOffset:
+		l.nextOffset = b.Start
+		l.markIncomplete(now)
 	}
 }
 
-// Apply applies one record with the log's time, and returns the keys that it
+// ApplyRecord applies one record with the log's time, and returns the keys that it
 // touched.
-func (l *Ledger) Apply(at time.Time, b recorder.CallBatch) (touched []recorder.Hash) {
-	// A log whose clock steps back must not make keys young again.
-	if at.After(l.latest) {
-		l.latest = at
+func (l *Ledger) ApplyRecord(at time.Time, b recorder.CallBatch) (touched []recorder.Hash) {
+	// If the log's clock steps back, expired keys must not become valid again.
+	if at.After(l.latestTime) {
+		l.latestTime = at
 	}
-	l.expire()
+	l.removeExpired()
 	for _, c := range b.Calls {
-		e := l.entry(c.Key)
+		e := l.findOrCreate(c.Key)
 		switch {
 		case c.Intent != nil:
-			l.intent(e, c)
+			l.applyIntent(e, c)
 		case c.Outcome != nil:
-			l.outcome(e, c.Attempt, *c.Outcome)
+			l.applyOutcome(e, c.Attempt, *c.Outcome)
 		case c.Abandon:
-			l.abandon(e, c.Attempt)
+			l.applyAbandon(e, c.Attempt)
 		}
 		touched = append(touched, c.Key)
 	}
 	return touched
 }
 
-// find returns what is known of a key, nil where nothing is. A key is forgotten
-// by its own time alone, so that VMs that began to read at different places
-// forget it at the same record.
+// find returns the entry of a key, or nil if there is none. Expiry depends on the
+// entry's own time only, so that VMs that started to read at different offsets
+// forget a key at the same record.
 func (l *Ledger) find(key recorder.Hash) *entry {
 	e := l.entries[key]
-	if e == nil || l.old(e) {
+	if e == nil || l.expired(e) {
 		return nil
 	}
 	return e
 }
 
-func (l *Ledger) old(e *entry) bool { return e.at.Before(l.latest.Add(-l.keep)) }
+func (l *Ledger) expired(e *entry) bool { return e.changedAt.Before(l.latestTime.Add(-l.retention)) }
 
-// entry returns what is known of a key, made where nothing is.
-func (l *Ledger) entry(key recorder.Hash) *entry {
+// findOrCreate returns the entry of a key, and creates it if there is none.
+func (l *Ledger) findOrCreate(key recorder.Hash) *entry {
 	if e := l.find(key); e != nil {
 		return e
 	}
-	e := &entry{key: key, at: l.latest}
+	e := &entry{key: key, changedAt: l.latestTime}
 	l.entries[key] = e
-	l.queue = append(l.queue, e)
+	l.expiryQueue = append(l.expiryQueue, e)
 	return e
 }
 
-// intent lets the first intent win. One that comes second is dead at once: it
-// does not move up when the first is abandoned, because its VM may have told
-// its caller otherwise by then.
-func (l *Ledger) intent(e *entry, c recorder.CallEntry) {
+// applyIntent lets the first intent win. A later one is lost at once: it does not
+// win when the first is abandoned, because its VM may have told its caller by then
+// that nothing ran.
+func (l *Ledger) applyIntent(e *entry, c recorder.CallEntry) {
 	switch {
-	case slices.Contains(e.dead, c.Attempt) || (e.claimed && e.winner == c.Attempt):
+	case slices.Contains(e.lost, c.Attempt) || (e.claimed && e.winner == c.Attempt):
 	case e.claimed:
-		e.dead = append(e.dead, c.Attempt)
+		e.lost = append(e.lost, c.Attempt)
 	default:
-		e.claimed, e.winner, e.print, e.at = true, c.Attempt, c.Intent.Print, l.latest
+		e.claimed, e.winner, e.fingerprint, e.changedAt = true, c.Attempt, c.Intent.Print, l.latestTime
 	}
 }
 
-// outcome notes what became of the call; the first word stands. An outcome
+// applyOutcome records the outcome of a call; only the first one counts. An outcome
 // whose intent the log has dropped still claims the key.
-func (l *Ledger) outcome(e *entry, by recorder.Attempt, o recorder.Outcome) {
-	if slices.Contains(e.dead, by) || e.outcome != nil || (e.claimed && e.winner != by) {
+func (l *Ledger) applyOutcome(e *entry, by recorder.Attempt, o recorder.Outcome) {
+	if slices.Contains(e.lost, by) || e.outcome != nil || (e.claimed && e.winner != by) {
 		return
 	}
 	e.claimed, e.winner = true, by
 	e.outcome = &o
 	if o.Kept {
-		l.bodied = append(l.bodied, e)
-		l.bodies += len(o.Body)
+		l.withBody = append(l.withBody, e)
+		l.bodyBytes += len(o.Body)
 	}
-	l.trim()
+	l.evictBodies()
 }
 
-// abandon frees a key whose winner has sent nothing, and keeps an attempt whose
-// intent lands later from ever winning.
-func (l *Ledger) abandon(e *entry, by recorder.Attempt) {
-	if slices.Contains(e.dead, by) || (e.claimed && e.winner == by && e.outcome != nil) {
+// applyAbandon frees a key whose winner has sent nothing. An attempt whose intent
+// is appended after its abandonment can never win.
+func (l *Ledger) applyAbandon(e *entry, by recorder.Attempt) {
+	if slices.Contains(e.lost, by) || (e.claimed && e.winner == by && e.outcome != nil) {
 		return
 	}
-	e.dead = append(e.dead, by)
-	e.at = l.latest
+	e.lost = append(e.lost, by)
+	e.changedAt = l.latestTime
 	if e.claimed && e.winner == by {
-		e.claimed, e.winner, e.print = false, recorder.Attempt{}, recorder.Hash{}
+		e.claimed, e.winner, e.fingerprint = false, recorder.Attempt{}, recorder.Hash{}
 	}
 }
 
-// expire drops keys that are forgotten. One whose claim changed since it was
-// queued is queued again.
-func (l *Ledger) expire() {
-	for range len(l.queue) {
-		e := l.queue[0]
-		if !l.old(e) {
+// removeExpired removes expired entries from the front of the queue. An entry whose
+// claim changed after it was queued keeps its place, and expired entries behind it
+// are removed only once it has expired too; find ignores them until then.
+func (l *Ledger) removeExpired() {
+	for range len(l.expiryQueue) {
+		e := l.expiryQueue[0]
+		if !l.expired(e) {
 			return
 		}
-		l.queue = l.queue[1:]
+		l.expiryQueue = l.expiryQueue[1:]
 		if l.entries[e.key] == e {
 			delete(l.entries, e.key)
 		}
 	}
 }
 
-// trim drops the oldest bodies while there are too many bytes of them, and
-// those of forgotten keys.
-func (l *Ledger) trim() {
-	for len(l.bodied) > 0 && (l.bodies > maxBodies || l.old(l.bodied[0])) {
-		e := l.bodied[0]
-		l.bodied = l.bodied[1:]
-		l.bodies -= len(e.outcome.Body)
+// evictBodies drops the oldest bodies while their total size exceeds the limit, and
+// those of expired keys.
+func (l *Ledger) evictBodies() {
+	for len(l.withBody) > 0 && (l.bodyBytes > maxTotalBodyBytes || l.expired(l.withBody[0])) {
+		e := l.withBody[0]
+		l.withBody = l.withBody[1:]
+		l.bodyBytes -= len(e.outcome.Body)
 		e.outcome = &recorder.Outcome{Status: e.outcome.Status, Header: e.outcome.Header}
 	}
 }
--- a/entry/process/deduplicator/ledger_test.go
+++ b/entry/process/deduplicator/ledger_test.go
@@ -15,8 +15,8 @@
 
 var start = time.UnixMilli(1_800_000_000_000)
 
-// keyMade returns a UUID of version 7 made at a time; n tells keys apart.
-func keyMade(at time.Time, n int) string {
+// uuidAt returns a UUID of version 7 with the given creation time; n makes it unique.
+func uuidAt(at time.Time, n int) string {
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(at.UnixMilli())<<16)
 	binary.BigEndian.PutUint64(id[8:], uint64(n))
@@ -41,7 +41,8 @@
 	return recorder.CallEntry{Key: recorder.Hash{1}, Attempt: a, Abandon: true}
 }
 
-// batch is a read of records that start at an offset, one second apart.
+// batch returns a batch with one record per entry, from offset from on, one second
+// apart.
 func batch(t *testing.T, from uint64, list ...recorder.CallEntry) appender.Batch {
 	t.Helper()
 	b := appender.Batch{Start: from, End: from + uint64(len(list))}
@@ -60,154 +61,154 @@
 	tests := []struct {
 		name    string
 		entries []recorder.CallEntry
-		want    deduplicator.Standing
+		want    deduplicator.State
 		winner  recorder.Attempt
-		a, b    deduplicator.Standing
+		a, b    deduplicator.State
 	}{
 		{"nothing", nil, deduplicator.Free, recorder.Attempt{}, deduplicator.Free, deduplicator.Free},
 		{"first wins", []recorder.CallEntry{intent(1, a), intent(1, b)}, deduplicator.Claimed, a, deduplicator.Won, deduplicator.Lost},
-		{"twice is once", []recorder.CallEntry{intent(1, a), intent(1, a)}, deduplicator.Claimed, a, deduplicator.Won, deduplicator.Free},
-		{"settled", []recorder.CallEntry{intent(1, a), outcome(a, 200)}, deduplicator.Settled, a, deduplicator.Won, deduplicator.Free},
-		{"first word stands", []recorder.CallEntry{intent(1, a), outcome(a, 200), outcome(a, 500), abandon(a)}, deduplicator.Settled, a, deduplicator.Won, deduplicator.Free},
+		{"duplicate intent", []recorder.CallEntry{intent(1, a), intent(1, a)}, deduplicator.Claimed, a, deduplicator.Won, deduplicator.Free},
+		{"completed", []recorder.CallEntry{intent(1, a), outcome(a, 200)}, deduplicator.Completed, a, deduplicator.Won, deduplicator.Free},
+		{"first outcome is final", []recorder.CallEntry{intent(1, a), outcome(a, 200), outcome(a, 500), abandon(a)}, deduplicator.Completed, a, deduplicator.Won, deduplicator.Free},
 		{"loser's outcome", []recorder.CallEntry{intent(1, a), intent(1, b), outcome(b, 500)}, deduplicator.Claimed, a, deduplicator.Won, deduplicator.Lost},
 		{"abandoned", []recorder.CallEntry{intent(1, a), abandon(a)}, deduplicator.Free, recorder.Attempt{}, deduplicator.Lost, deduplicator.Free},
-		{"second stays dead", []recorder.CallEntry{intent(1, a), intent(1, b), abandon(a)}, deduplicator.Free, recorder.Attempt{}, deduplicator.Lost, deduplicator.Lost},
-		{"second lands again", []recorder.CallEntry{intent(1, a), intent(1, b), abandon(a), intent(1, b)}, deduplicator.Free, recorder.Attempt{}, deduplicator.Lost, deduplicator.Lost},
-		{"next may win", []recorder.CallEntry{intent(1, a), abandon(a), intent(1, c)}, deduplicator.Claimed, c, deduplicator.Lost, deduplicator.Free},
-		{"abandoned before it lands", []recorder.CallEntry{abandon(a), intent(1, a)}, deduplicator.Free, recorder.Attempt{}, deduplicator.Lost, deduplicator.Free},
-		{"outcome without intent", []recorder.CallEntry{outcome(a, 200), intent(1, b)}, deduplicator.Settled, a, deduplicator.Won, deduplicator.Lost},
+		{"second attempt stays lost", []recorder.CallEntry{intent(1, a), intent(1, b), abandon(a)}, deduplicator.Free, recorder.Attempt{}, deduplicator.Lost, deduplicator.Lost},
+		{"second intent appended again", []recorder.CallEntry{intent(1, a), intent(1, b), abandon(a), intent(1, b)}, deduplicator.Free, recorder.Attempt{}, deduplicator.Lost, deduplicator.Lost},
+		{"next attempt wins", []recorder.CallEntry{intent(1, a), abandon(a), intent(1, c)}, deduplicator.Claimed, c, deduplicator.Lost, deduplicator.Free},
+		{"abandoned before its intent", []recorder.CallEntry{abandon(a), intent(1, a)}, deduplicator.Free, recorder.Attempt{}, deduplicator.Lost, deduplicator.Free},
+		{"outcome without intent", []recorder.CallEntry{outcome(a, 200), intent(1, b)}, deduplicator.Completed, a, deduplicator.Won, deduplicator.Lost},
 		{"another key", []recorder.CallEntry{intent(2, a)}, deduplicator.Free, recorder.Attempt{}, deduplicator.Free, deduplicator.Free},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l := deduplicator.NewLedger(time.Hour)
-			_, skipped := l.Read(batch(t, 1, test.entries...), start)
+			_, skipped := l.ApplyRecords(batch(t, 1, test.entries...), start)
 			assert.Equal(t, skipped, 0)
-			v := l.Judge(recorder.Hash{1}, recorder.Hash{9})
-			assert.Equal(t, v.Standing, test.want)
+			v := l.Lookup(recorder.Hash{1}, recorder.Hash{9})
+			assert.Equal(t, v.State, test.want)
 			assert.Equal(t, v.Winner, test.winner)
-			assert.Equal(t, l.Decide(recorder.Hash{1}, a), test.a)
-			assert.Equal(t, l.Decide(recorder.Hash{1}, b), test.b)
+			assert.Equal(t, l.AttemptState(recorder.Hash{1}, a), test.a)
+			assert.Equal(t, l.AttemptState(recorder.Hash{1}, b), test.b)
 		})
 	}
 }
 
 func TestMismatch(t *testing.T) {
 	l := deduplicator.NewLedger(time.Hour)
-	l.Read(batch(t, 1, intent(1, attempt("a", 1))), start)
-	assert.Equal(t, l.Judge(recorder.Hash{1}, recorder.Hash{8}).Standing, deduplicator.Mismatch)
+	l.ApplyRecords(batch(t, 1, intent(1, attempt("a", 1))), start)
+	assert.Equal(t, l.Lookup(recorder.Hash{1}, recorder.Hash{8}).State, deduplicator.Mismatch)
 }
 
-func TestForgets(t *testing.T) {
+func TestLedgerForgetsKeys(t *testing.T) {
 	l := deduplicator.NewLedger(2500 * time.Millisecond)
 	a := attempt("a", 1)
-	l.Read(batch(t, 1, intent(1, a), intent(2, a), intent(3, a)), start)
-	assert.Equal(t, l.Judge(recorder.Hash{1}, recorder.Hash{9}).Standing, deduplicator.Claimed)
-	l.Apply(start.Add(2600*time.Millisecond), recorder.CallBatch{})
-	assert.Equal(t, l.Judge(recorder.Hash{1}, recorder.Hash{9}).Standing, deduplicator.Free)
-	assert.Equal(t, l.Judge(recorder.Hash{2}, recorder.Hash{9}).Standing, deduplicator.Claimed)
+	l.ApplyRecords(batch(t, 1, intent(1, a), intent(2, a), intent(3, a)), start)
+	assert.Equal(t, l.Lookup(recorder.Hash{1}, recorder.Hash{9}).State, deduplicator.Claimed)
+	l.ApplyRecord(start.Add(2600*time.Millisecond), recorder.CallBatch{})
+	assert.Equal(t, l.Lookup(recorder.Hash{1}, recorder.Hash{9}).State, deduplicator.Free)
+	assert.Equal(t, l.Lookup(recorder.Hash{2}, recorder.Hash{9}).State, deduplicator.Claimed)
 }
 
-// Operators lengthen the window. Keys that were forgotten under the old one don't
-// come back, so for a while they must not pass for new.
+// Operators lengthen the window. Keys forgotten under the old window don't come back,
+// so for a while they must not be taken for new.
 func TestLongerWindow(t *testing.T) {
 	l := deduplicator.NewLedger(time.Minute)
-	l.Keep(time.Hour) // nothing read yet, nothing forgotten
-	assert.Assert(t, l.Since().IsZero())
-	l.Keep(time.Minute)
-	l.Apply(start, recorder.CallBatch{Calls: []recorder.CallEntry{intent(1, attempt("a", 1))}})
-	l.Apply(start.Add(2*time.Minute), recorder.CallBatch{})
-	l.Keep(time.Hour)
-	assert.Assert(t, l.Since().Equal(start.Add(time.Minute)), "%s", l.Since())
+	l.SetRetention(time.Hour) // nothing read yet, nothing forgotten
+	assert.Assert(t, l.CompleteSince().IsZero())
+	l.SetRetention(time.Minute)
+	l.ApplyRecord(start, recorder.CallBatch{Calls: []recorder.CallEntry{intent(1, attempt("a", 1))}})
+	l.ApplyRecord(start.Add(2*time.Minute), recorder.CallBatch{})
+	l.SetRetention(time.Hour)
+	assert.Assert(t, l.CompleteSince().Equal(start.Add(time.Minute)), "%s", l.CompleteSince())
 }
 
-// The log forgets, or loses its end, before a VM has read it. A key used in
-// what is missing must not pass for new.
-func TestNotesWhatItMissed(t *testing.T) {
+// The log drops records, or loses its end, before a VM has read them. A key used in
+// the missing records must not be taken for new.
+func TestLedgerDetectsMissedRecords(t *testing.T) {
 	now := start.Add(time.Hour)
 	other, err := recorder.Encode([]any{2, "calls", map[string]int{}})
 	assert.NilError(t, err)
 	tests := []struct {
 		name  string
-		reads func(l *deduplicator.Ledger)
+		apply func(l *deduplicator.Ledger)
 		since time.Time
 	}{
-		{"all read", func(l *deduplicator.Ledger) { l.Read(batch(t, 1, intent(1, attempt("a", 1))), now) }, time.Time{}},
-		{"dropped before the start", func(l *deduplicator.Ledger) { l.Read(batch(t, 5, intent(1, attempt("a", 1))), now) }, start},
-		{"all dropped", func(l *deduplicator.Ledger) { l.Read(appender.Batch{Start: 5, End: 5}, now) }, now},
+		{"all read", func(l *deduplicator.Ledger) { l.ApplyRecords(batch(t, 1, intent(1, attempt("a", 1))), now) }, time.Time{}},
+		{"dropped before the start", func(l *deduplicator.Ledger) { l.ApplyRecords(batch(t, 5, intent(1, attempt("a", 1))), now) }, start},
+		{"all dropped", func(l *deduplicator.Ledger) { l.ApplyRecords(appender.Batch{Start: 5, End: 5}, now) }, now},
 		{"fell behind", func(l *deduplicator.Ledger) {
-			l.Read(batch(t, 1, intent(1, attempt("a", 1))), now)
-			l.Read(batch(t, 9, intent(1, attempt("a", 1))), now)
+			l.ApplyRecords(batch(t, 1, intent(1, attempt("a", 1))), now)
+			l.ApplyRecords(batch(t, 9, intent(1, attempt("a", 1))), now)
 		}, start},
-		{"went back", func(l *deduplicator.Ledger) {
-			l.Read(batch(t, 1, intent(1, attempt("a", 1)), intent(1, attempt("a", 2))), now)
-			l.Read(appender.Batch{Start: 1, End: 2}, now)
+		{"log lost its end", func(l *deduplicator.Ledger) {
+			l.ApplyRecords(batch(t, 1, intent(1, attempt("a", 1)), intent(1, attempt("a", 2))), now)
+			l.ApplyRecords(appender.Batch{Start: 1, End: 2}, now)
 		}, now},
 		{"later version", func(l *deduplicator.Ledger) {
-			l.Read(appender.Batch{Start: 1, End: 2, Records: []appender.Record{{Offset: 1, At: now, Data: other}}}, now)
+			l.ApplyRecords(appender.Batch{Start: 1, End: 2, Records: []appender.Record{{Offset: 1, At: now, Data: other}}}, now)
 		}, now},
-		{"broken record", func(l *deduplicator.Ledger) {
-			l.Read(appender.Batch{Start: 1, End: 2, Records: []appender.Record{{Offset: 1, At: now, Data: []byte("x")}}}, now)
+		{"corrupt record", func(l *deduplicator.Ledger) {
+			l.ApplyRecords(appender.Batch{Start: 1, End: 2, Records: []appender.Record{{Offset: 1, At: now, Data: []byte("x")}}}, now)
 		}, time.Time{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l := deduplicator.NewLedger(24 * time.Hour)
-			test.reads(l)
-			assert.Assert(t, l.Since().Equal(test.since), "%s", l.Since())
+			test.apply(l)
+			assert.Assert(t, l.CompleteSince().Equal(test.since), "%s", l.CompleteSince())
 		})
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestCheckKey(t *testing.T) {
 	l := deduplicator.Limits{Window: time.Hour, MaxClockSkew: time.Minute}
 	now := start
 	since := now.Add(-30 * time.Minute)
-	fresh := keyMade(now, 1)
+	fresh := uuidAt(now, 1)
 	tests := []struct {
-		name, key string
-		dated     bool
-		since     time.Time
-		fails     interface{ Has(error) bool }
+		name, key   string
+		timestamped bool
+		since       time.Time
+		wantErr     interface{ Has(error) bool }
 	}{
 		{"fresh", fresh, true, time.Time{}, nil},
 		{"any form", "booking 1", false, time.Time{}, nil},
-		{"not a UUID", "booking 1", true, time.Time{}, &deduplicator.ErrForm},
-		{"version 4", "f47ac10b-58cc-4372-a567-0e02b2c3d479", true, time.Time{}, &deduplicator.ErrForm},
-		{"other form of a UUID", "{" + fresh + "}", true, time.Time{}, &deduplicator.ErrForm},
-		{"just in the window", keyMade(now.Add(-time.Hour), 1), true, time.Time{}, nil},
-		{"old", keyMade(now.Add(-time.Hour-time.Millisecond), 1), true, time.Time{}, &deduplicator.ErrOld},
-		{"a little ahead", keyMade(now.Add(time.Minute), 1), true, time.Time{}, nil},
-		{"far ahead", keyMade(now.Add(time.Minute+time.Millisecond), 1), true, time.Time{}, &deduplicator.ErrFuture},
-		{"after what was missed", keyMade(since.Add(3*time.Minute), 1), true, since, nil},
-		{"perhaps among what was missed", keyMade(since.Add(2*time.Minute), 1), true, since, &deduplicator.ErrMissed},
-		{"any form, missed", "booking 1", false, since, &deduplicator.ErrMissed},
-		{"any form, missed long ago", "booking 1", false, now.Add(-63 * time.Minute), nil},
+		{"not a UUID", "booking 1", true, time.Time{}, &deduplicator.ErrMalformed},
+		{"version 4", "f47ac10b-58cc-4372-a567-0e02b2c3d479", true, time.Time{}, &deduplicator.ErrMalformed},
+		{"other form of a UUID", "{" + fresh + "}", true, time.Time{}, &deduplicator.ErrMalformed},
+		{"just in the window", uuidAt(now.Add(-time.Hour), 1), true, time.Time{}, nil},
+		{"expired", uuidAt(now.Add(-time.Hour-time.Millisecond), 1), true, time.Time{}, &deduplicator.ErrExpired},
+		{"a little ahead", uuidAt(now.Add(time.Minute), 1), true, time.Time{}, nil},
+		{"far ahead", uuidAt(now.Add(time.Minute+time.Millisecond), 1), true, time.Time{}, &deduplicator.ErrFuture},
+		{"created after the missed records", uuidAt(since.Add(3*time.Minute), 1), true, since, nil},
+		{"possibly among the missed records", uuidAt(since.Add(2*time.Minute), 1), true, since, &deduplicator.ErrUnread},
+		{"any form, records missed", "booking 1", false, since, &deduplicator.ErrUnread},
+		{"any form, records missed long ago", "booking 1", false, now.Add(-63 * time.Minute), nil},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			err := l.Check(test.key, test.dated, test.since, now)
-			if test.fails == nil {
+			err := l.CheckKey(test.key, test.timestamped, test.since, now)
+			if test.wantErr == nil {
 				assert.NilError(t, err)
 				return
 			}
-			assert.Assert(t, test.fails.Has(err), "%v", err)
+			assert.Assert(t, test.wantErr.Has(err), "%v", err)
 		})
 	}
 }
 
-// A VM appends its intent and is frozen. Meanwhile the log drops records, the
-// first intent of the key among them. The VM wakes and reads its own as the
-// first; were it to send, the member would have two bookings.
-func TestWakesAfterRecordsWereDropped(t *testing.T) {
+// A VM appends its intent and is frozen. Meanwhile the log drops records, among them
+// the first intent of the key. The VM resumes and reads its own intent as the first;
+// if it sent the call, the caller would have two bookings.
+func TestFreezeWhileRecordsAreDropped(t *testing.T) {
 	limits := deduplicator.Limits{Window: time.Hour, MaxClockSkew: time.Second}
-	l := deduplicator.NewLedger(limits.Keep())
-	l.Read(batch(t, 1), start)
+	l := deduplicator.NewLedger(limits.Retention())
+	l.ApplyRecords(batch(t, 1), start)
 	a := attempt("a", 1)
-	l.Read(batch(t, 3, intent(1, a)), start.Add(time.Minute))
-	assert.Equal(t, l.Decide(recorder.Hash{1}, a), deduplicator.Won)
-	err := limits.Check(keyMade(start, 1), true, l.Since(), start.Add(time.Minute))
-	assert.Assert(t, deduplicator.ErrMissed.Has(err), "%v", err)
+	l.ApplyRecords(batch(t, 3, intent(1, a)), start.Add(time.Minute))
+	assert.Equal(t, l.AttemptState(recorder.Hash{1}, a), deduplicator.Won)
+	err := limits.CheckKey(uuidAt(start, 1), true, l.CompleteSince(), start.Add(time.Minute))
+	assert.Assert(t, deduplicator.ErrUnread.Has(err), "%v", err)
 }
 
 func FuzzLedger(f *testing.F) {
@@ -219,13 +220,13 @@
 	f.Fuzz(func(t *testing.T, one, two []byte) {
 		a, b := attempt("a", 1), attempt("b", 2)
 		l := deduplicator.NewLedger(time.Hour)
-		l.Read(batch(t, 1, intent(1, a)), start)
-		l.Read(appender.Batch{Start: 1, End: 4, Records: []appender.Record{
+		l.ApplyRecords(batch(t, 1, intent(1, a)), start)
+		l.ApplyRecords(appender.Batch{Start: 1, End: 4, Records: []appender.Record{
 			{Offset: 2, At: start, Data: one}, {Offset: 3, At: start, Data: two},
 		}}, start)
-		assert.Equal(t, l.Next(), uint64(4))
-		// Whatever the records say, not two attempts hold one key.
-		won := l.Decide(recorder.Hash{1}, a) == deduplicator.Won && l.Decide(recorder.Hash{1}, b) == deduplicator.Won
+		assert.Equal(t, l.NextOffset(), uint64(4))
+		// Two attempts must never hold one key, whatever the records contain.
+		won := l.AttemptState(recorder.Hash{1}, a) == deduplicator.Won && l.AttemptState(recorder.Hash{1}, b) == deduplicator.Won
 		assert.Assert(t, !won, "%x %x", one, two)
 	})
 }
--- a/entry/process/deduplicator/tailer.go
+++ b/entry/process/deduplicator/tailer.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// mostRecords bounds one read.
-	mostRecords = 256
-	// readWait is how long the log holds a read that has nothing to answer.
+	// maxRecordsPerRead bounds the records of one read.
+	maxRecordsPerRead = 256
+	// readWait is how long the log holds a read while there is no new record.
 	readWait = time.Second
-	// readLimit is how long one read may take in all.
-	readLimit = readWait + 3*time.Second
+	// readTimeout bounds one read, including readWait.
+	readTimeout = readWait + 3*time.Second
 )
 
-// A tailer follows the stream of calls.
+// A tailer reads the stream of calls as it grows.
 type tailer struct {
 	log          Log
 	deduplicator *Deduplicator
-	tick         chan struct{}
+	retry        chan struct{}
 }
 
 // run reads until the context ends.
@@ -34,7 +34,7 @@
 		}
 		t.deduplicator.meter.Count("deduplicator.read.failed", 1)
 		select {
-		case <-t.tick:
+		case <-t.retry:
 		case <-ctx.Done():
 		}
 	}
@@ -42,35 +42,36 @@
 }
 
 func (t *tailer) read(ctx context.Context) (appender.Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, readLimit)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	from, wait := t.deduplicator.place()
-	return t.log.Read(ctx, recorder.Calls, from, mostRecords, wait)
+	from, wait := t.deduplicator.readPosition()
+	return t.log.Read(ctx, recorder.Calls, from, maxRecordsPerRead, wait)
 }
 
-// place is where to read on and how long to wait there. The first read only
-// finds out where the end is.
-func (k *Deduplicator) place() (from uint64, wait time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.read.IsZero() {
-		return k.ledger.Next(), 0
+// readPosition returns the offset to read from and how long the read may wait for
+// new records. The first read does not wait: it only finds the end of the log.
+func (d *Deduplicator) readPosition() (from uint64, wait time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.lastRead.IsZero() {
+		return d.ledger.NextOffset(), 0
 	}
-	return k.ledger.Next(), readWait
+	return d.ledger.NextOffset(), readWait
 }
 
-// apply takes in what was read.
-func (k *Deduplicator) apply(b appender.Batch) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.timer.Now()
-	touched, skipped := k.ledger.Read(b, now)
-	k.caught = k.ledger.Next() >= b.End
-	k.read = now
+// apply applies a batch of records to the ledger and wakes the calls that wait for
+// their keys.
+func (d *Deduplicator) apply(b appender.Batch) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.timer.Now()
+	touched, skipped := d.ledger.ApplyRecords(b, now)
+	d.caughtUp = d.ledger.NextOffset() >= b.End
+	d.lastRead = now
 	for _, key := range touched {
-		wake(k.watchers[key])
+		notifyAll(d.watchers[key])
 	}
 	if skipped > 0 {
-		k.meter.Count("deduplicator.skipped", int64(skipped))
+		d.meter.Count("deduplicator.skipped", int64(skipped))
 	}
 }
--- a/entry/process/deduplicator/waiter.go
+++ b/entry/process/deduplicator/waiter.go
@@ -6,26 +6,26 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// watch returns what is poked when a key changes.
-func (k *Deduplicator) watch(key recorder.Hash) (w <-chan struct{}, stop func()) {
+// watch returns a channel that is notified when the state of a key may have changed.
+func (d *Deduplicator) watch(key recorder.Hash) (w <-chan struct{}, stop func()) {
 	c := make(chan struct{}, 1)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.watchers[key] == nil {
-		k.watchers[key] = make(map[chan struct{}]struct{})
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.watchers[key] == nil {
+		d.watchers[key] = make(map[chan struct{}]struct{})
 	}
-	k.watchers[key][c] = struct{}{}
+	d.watchers[key][c] = struct{}{}
 	return c, func() {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		delete(k.watchers[key], c)
-		if len(k.watchers[key]) == 0 {
-			delete(k.watchers, key)
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		delete(d.watchers[key], c)
+		if len(d.watchers[key]) == 0 {
+			delete(d.watchers, key)
 		}
 	}
 }
 
-// wait returns false where the context ended first.
+// wait waits for a notification; it returns false if the context ends first.
 func wait(ctx context.Context, w <-chan struct{}) bool {
 	select {
 	case <-w:
@@ -35,14 +35,14 @@
 	}
 }
 
-func wake(watchers map[chan struct{}]struct{}) {
+func notifyAll(watchers map[chan struct{}]struct{}) {
 	for w := range watchers {
-		poke(w)
+		notify(w)
 	}
 }
 
-// poke leaves one token in a channel of one place.
-func poke(c chan struct{}) {
+// notify sends to a channel with a buffer of one, unless the buffer is full.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
