--- a/entry/process/observer/observer.go
+++ b/entry/process/observer/observer.go
@@ -49,15 +49,15 @@
 	return o.gauger.Speed(o.now(), upstream)
 }
 
-// Turned passes on evidence that an upstream is in cold start.
-func (o *Observer) Turned(upstream string, boot uint64, cause string) {
+// ReportCold passes on evidence that an upstream is in cold start.
+func (o *Observer) ReportCold(upstream string, boot uint64, cause string) {
 	o.onCold(upstream, boot, cause)
 }
 
-// Begun records that a request was sent to an upstream. Until the first token the
-// upstream has to read the given number of prompt tokens, and rate is the number per
-// second that it promised.
-func (o *Observer) Begun(upstream, id string, tokens int, rate float64) {
+// RequestSent records that a request was sent to an upstream. Until the first token
+// the upstream has to read the given number of prompt tokens, and rate is the number
+// per second that it promised.
+func (o *Observer) RequestSent(upstream, id string, tokens int, rate float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
@@ -65,8 +65,8 @@
 	o.waiting[id] = pendingRequest{upstream: upstream, tokens: tokens, rate: rate, since: now}
 }
 
-// First records that the first token of a request has arrived.
-func (o *Observer) First(id string) {
+// FirstToken records that the first token of a request has arrived.
+func (o *Observer) FirstToken(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	w, ok := o.waiting[id]
@@ -81,8 +81,8 @@
 	o.gauger.Observe(now, w.upstream, w.tokens, now.Sub(w.since), w.rate)
 }
 
-// Ended records that a request is over, with or without a first token.
-func (o *Observer) Ended(id string) {
+// RequestEnded records that a request is over, with or without a first token.
+func (o *Observer) RequestEnded(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.waiting, id)
--- a/entry/process/observer/observer_test.go
+++ b/entry/process/observer/observer_test.go
@@ -46,18 +46,18 @@
 	for _, order := range []string{"the timer first", "the answer first", "a new request first"} {
 		t.Run(order, func(t *testing.T) {
 			w := newTestObserver()
-			w.Begun(engine, "before", tokens, rate)
+			w.RequestSent(engine, "before", tokens, rate)
 			w.advance(500 * time.Millisecond)
 			w.now = w.now.Add(30 * time.Second)
 			switch order {
 			case "the timer first":
 				w.Tick(w.now)
-				w.First("before")
+				w.FirstToken("before")
 			case "the answer first":
-				w.First("before")
+				w.FirstToken("before")
 				w.Tick(w.now)
 			case "a new request first":
-				w.Begun(engine, "after", tokens, rate)
+				w.RequestSent(engine, "after", tokens, rate)
 				w.Tick(w.now)
 			}
 			assert.Equal(t, w.Speed(engine), 1.0)
@@ -68,10 +68,10 @@
 // If the VM was running the whole time, the missing response is the engine's fault.
 func TestUnansweredRequestLowersEngineSpeed(t *testing.T) {
 	w := newTestObserver()
-	w.Begun(engine, "one", tokens, rate)
+	w.RequestSent(engine, "one", tokens, rate)
 	w.advance(10 * time.Second)
 	assert.Assert(t, w.Speed(engine) < 0.15, "%v", w.Speed(engine))
-	w.First("one")
+	w.FirstToken("one")
 	w.advance(time.Minute)
 	assert.Equal(t, w.Speed(engine), 1.0, "the engine may be tried again")
 }
--- a/entry/process/server/coordination.go
+++ b/entry/process/server/coordination.go
@@ -95,7 +95,7 @@
 }
 
 // Known tells whether a stream of this process is in progress.
-func (o owner) Known(id string) bool { return o.server.chatter.Known(id) }
+func (o owner) Known(id string) bool { return o.server.chatter.InProgress(id) }
 
 // Gone tells that a process has certainly been stopped.
 func (o owner) Gone(vm string, boot uint64) bool { return o.server.coordinator.Gone(vm, boot) }
--- a/entry/process/server/server.go
+++ b/entry/process/server/server.go
@@ -82,7 +82,7 @@
 	canceller    *canceller.Canceller
 	deduplicator *deduplicator.Deduplicator
 	keeper       *keeper.Keeper
-	chatter      *chatter.Chatter
+	chatter      *chatter.Handler
 	drainer      *drainer.Drainer
 	watcher      *watcher.Watcher
 	bodies       *bounder.Bounder
@@ -152,18 +152,18 @@
 	quarantine := quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: v.log, Broadcast: v.keeper.ScheduleAppend, MayRunTrial: v.mayTry})
 	v.keeper.SetQuarantine(quarantine)
 	v.chatter = chatter.New(chatter.Config{VM: v.settings.ID, Boot: v.boot}, chatter.Deps{
-		Views: v.view.Load, Reader: bodies, Acquirer: v.dispatcher, Streamer: streamer.New(v.upstream),
-		Canceller: v.canceller, Watcher: v.observer, Retrier: newBudget(), Quarantine: quarantine, Meter: v.meter, Now: time.Now,
+		View: v.view.Load, Reader: bodies, Acquirer: v.dispatcher, Streamer: streamer.New(v.upstream),
+		Canceller: v.canceller, Observer: v.observer, Retrier: newBudget(), Quarantine: quarantine, Meter: v.meter, Now: time.Now,
 	})
 	calls := passer.New(v.settings.ID, v.boot, passer.Deps{
-		Views: v.view.Load, Reader: bodies, Acquirer: v.dispatcher, Watcher: v.observer,
+		View: v.view.Load, Reader: bodies, Acquirer: v.dispatcher, Observer: v.observer,
 		Retrier: newBudget(), Deduplicator: v.deduplicator, Quarantine: quarantine, Meter: v.meter, Now: time.Now,
 	})
 	mux := http.NewServeMux()
 	mux.Handle("POST /v1/chat/completions", v.chatter)
 	mux.HandleFunc("GET /v1/models", v.chatter.Models)
 	mux.HandleFunc("GET /v1/models/{model}", v.chatter.Models)
-	mux.Handle(passer.Prefix, calls)
+	mux.Handle(passer.PathPrefix, calls)
 	mux.HandleFunc("/", v.chatter.NotFound)
 	v.drainer = drainer.New(mux, v.settings.Limits.Streams)
 	v.watcher = watcher.New(v.meter.Handler(), v.status, v.configured, v.coordinated, v.serving)
--- a/entry/request/authenticator/authenticator.go
+++ b/entry/request/authenticator/authenticator.go
@@ -31,8 +31,8 @@
 	return viewer.Team{}, refuser.New(http.StatusUnauthorized, "unknown_token", "the bearer token is missing or names no team")
 }
 
-// Limit returns the time limit of a request within the bounds of its work.
-func Limit(q *http.Request, limit, least, most checker.Duration) (time.Duration, *refuser.Refusal) {
+// Timeout returns the time limit of a request within the bounds of its work.
+func Timeout(q *http.Request, limit, least, most checker.Duration) (time.Duration, *refuser.Refusal) {
 	d, err := viewer.Limit(q.Header.Get(TimeoutHeader), limit, least, most)
 	if err != nil {
 		return 0, refuser.BadRequest(TimeoutHeader, "bad_timeout", "%s", err)
--- a/entry/request/chatter/answer.go
+++ b/entry/request/chatter/answer.go
@@ -21,7 +21,7 @@
 func newAnswerer(j *job, now time.Time) answerer {
 	f := frame{id: "chatcmpl-" + j.id, model: j.model, created: now.Unix(), tokens: j.tokens}
 	if j.chat.Stream {
-		return &chunker{frame: f, usage: j.chat.Usage}
+		return &chunker{frame: f, usage: j.chat.IncludeUsage}
 	}
 	return &gatherer{frame: f}
 }
--- a/entry/request/chatter/chatter.go
+++ b/entry/request/chatter/chatter.go
@@ -41,17 +41,17 @@
 	Cancel(address, id string, done func())
 }
 
-// A Watcher hears what requests meet at upstreams.
-type Watcher interface {
-	// Turned hears evidence that an upstream has turned cold.
-	Turned(upstream string, boot uint64, cause string)
-	// Begun hears that work was sent: until the first token the upstream has so
+// A Observer hears what requests meet at upstreams.
+type Observer interface {
+	// ReportCold hears evidence that an upstream has turned cold.
+	ReportCold(upstream string, boot uint64, cause string)
+	// RequestSent hears that work was sent: until the first token the upstream has so
 	// many prompt tokens to read, and promised that many a second.
-	Begun(upstream, id string, tokens int, rate float64)
-	// First hears that the first token came.
-	First(id string)
-	// Ended hears that work is over, with or without a first token.
-	Ended(id string)
+	RequestSent(upstream, id string, tokens int, rate float64)
+	// FirstToken hears that the first token came.
+	FirstToken(id string)
+	// RequestEnded hears that work is over, with or without a first token.
+	RequestEnded(id string)
 }
 
 // A Retrier decides whether work is sent again.
@@ -81,15 +81,15 @@
 	Boot uint64
 }
 
-// A Chatter answers requests for chat completions.
-type Chatter struct {
+// A Handler answers requests for chat completions.
+type Handler struct {
 	config    Config
 	views     func() *viewer.View
 	reader    *reader.Reader
 	acquirer  Acquirer
 	streamer  *streamer.Streamer
 	canceller Canceller
-	watcher   Watcher
+	watcher   Observer
 	retrier   Retrier
 	// quarantine knows the requests that crash upstreams.
 	quarantine Quarantine
@@ -101,12 +101,12 @@
 
 // Deps are what a Chatter works with.
 type Deps struct {
-	Views     func() *viewer.View
+	View      func() *viewer.View
 	Reader    *reader.Reader
 	Acquirer  Acquirer
 	Streamer  *streamer.Streamer
 	Canceller Canceller
-	Watcher   Watcher
+	Observer  Observer
 	Retrier   Retrier
 	// Quarantine knows the requests that crash upstreams.
 	Quarantine Quarantine
@@ -115,17 +115,17 @@
 }
 
 // New returns a Chatter.
-func New(c Config, d Deps) *Chatter {
-	return &Chatter{
-		config: c, views: d.Views, reader: d.Reader, acquirer: d.Acquirer, streamer: d.Streamer,
-		canceller: d.Canceller, watcher: d.Watcher, retrier: d.Retrier, quarantine: d.Quarantine, meter: d.Meter, now: d.Now,
+func New(c Config, d Deps) *Handler {
+	return &Handler{
+		config: c, views: d.View, reader: d.Reader, acquirer: d.Acquirer, streamer: d.Streamer,
+		canceller: d.Canceller, watcher: d.Observer, retrier: d.Retrier, quarantine: d.Quarantine, meter: d.Meter, now: d.Now,
 		running: newRegistry(),
 	}
 }
 
-// Known tells whether a stream or part at an engine belongs to a request in
+// InProgress tells whether a stream or part at an engine belongs to a request in
 // progress here.
-func (c *Chatter) Known(id string) bool { return c.running.has(id) }
+func (c *Handler) InProgress(id string) bool { return c.running.has(id) }
 
 // A job is one request on its way.
 type job struct {
@@ -134,7 +134,7 @@
 	deadline time.Time
 	view     *viewer.View
 	team     viewer.Team
-	chat     *parser.Chat
+	chat     *parser.ChatRequest
 	pool     *viewer.Pool
 	model    string
 	tokens   int
@@ -151,7 +151,7 @@
 }
 
 // ServeHTTP answers one request.
-func (c *Chatter) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (c *Handler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	arrived := c.now()
 	w.Header().Set(refuser.VMHeader, c.config.VM)
 	c.meter.Count("chat.requests", 1)
@@ -166,13 +166,13 @@
 	c.run(ctx, w, j)
 }
 
-func (c *Chatter) refuse(w http.ResponseWriter, r *refuser.Refusal) {
+func (c *Handler) refuse(w http.ResponseWriter, r *refuser.Refusal) {
 	c.meter.Count("chat.refused."+r.Code, 1)
 	r.Write(w)
 }
 
 // accept reads and checks a request.
-func (c *Chatter) accept(w http.ResponseWriter, q *http.Request, arrived time.Time) (*job, *refuser.Refusal) {
+func (c *Handler) accept(w http.ResponseWriter, q *http.Request, arrived time.Time) (*job, *refuser.Refusal) {
 	v := c.views()
 	if v == nil {
 		return nil, authenticator.NotReady()
@@ -210,7 +210,7 @@
 	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the request has crashed the upstreams that ran it").WithRetryAfter(after)
 }
 
-func (c *Chatter) id() string {
+func (c *Handler) id() string {
 	n := c.sequence.Add(1)
 	return c.config.VM + "-" + strconv.FormatUint(c.config.Boot, 36) + "-" + strconv.FormatUint(n, 36)
 }
@@ -227,8 +227,8 @@
 	j.pool, j.model, j.bytes = pool, j.chat.Model, m.Bytes
 	j.tokens = max(1, (len(j.chat.Prompt)+m.Bytes-1)/m.Bytes)
 	j.output = m.Output
-	if j.chat.Output > 0 {
-		j.output = min(j.chat.Output, m.Output)
+	if j.chat.MaxTokens > 0 {
+		j.output = min(j.chat.MaxTokens, m.Output)
 	}
 	if j.tokens+j.output > m.Context {
 		return refuser.BadRequest("messages", "context_length_exceeded",
@@ -238,7 +238,7 @@
 	if !ok {
 		return refuser.BadRequest("messages", "context_length_exceeded", "no class of work takes a prompt of %d tokens", j.tokens)
 	}
-	limit, refusal := authenticator.Limit(q, class.Limit, class.Least, class.Most)
+	limit, refusal := authenticator.Timeout(q, class.Limit, class.Least, class.Most)
 	if refusal != nil {
 		return refusal
 	}
--- a/entry/request/chatter/fake_test.go
+++ b/entry/request/chatter/fake_test.go
@@ -189,10 +189,10 @@
 
 type deaf struct{}
 
-func (deaf) Turned(string, uint64, string)      {}
-func (deaf) Begun(string, string, int, float64) {}
-func (deaf) First(string)                       {}
-func (deaf) Ended(string)                       {}
+func (deaf) ReportCold(string, uint64, string)        {}
+func (deaf) RequestSent(string, string, int, float64) {}
+func (deaf) FirstToken(string)                        {}
+func (deaf) RequestEnded(string)                      {}
 
 type rig struct {
 	*httptest.Server
@@ -208,12 +208,12 @@
 	t.Cleanup(upstream.CloseIdleConnections)
 	view := viewer.New(1, m, func(string, string) bool { return false })
 	c := chatter.New(chatter.Config{VM: "vm1", Boot: 3}, chatter.Deps{
-		Views:      func() *viewer.View { return view },
+		View:       func() *viewer.View { return view },
 		Reader:     &reader.Reader{MaxBytes: longest, Budget: r.bodies, Timeout: 200 * time.Millisecond},
 		Acquirer:   r.places,
 		Streamer:   streamer.New(&http.Client{Transport: upstream}),
 		Canceller:  r.cancels,
-		Watcher:    deaf{},
+		Observer:   deaf{},
 		Retrier:    retrier.New(retrier.Config{}, rand.New(rand.NewPCG(1, 2))),
 		Quarantine: quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: nobody}),
 		Meter:      meter.New(),
--- a/entry/request/chatter/models.go
+++ b/entry/request/chatter/models.go
@@ -23,7 +23,7 @@
 }
 
 // Models lists the models, or shows the one that the path names.
-func (c *Chatter) Models(w http.ResponseWriter, q *http.Request) {
+func (c *Handler) Models(w http.ResponseWriter, q *http.Request) {
 	w.Header().Set(refuser.VMHeader, c.config.VM)
 	v := c.views()
 	if v == nil {
@@ -51,7 +51,7 @@
 	c.show(w, list.Data[i])
 }
 
-func (c *Chatter) show(w http.ResponseWriter, v any) {
+func (c *Handler) show(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(refuser.RanHeader, string(refuser.RanYes))
 	if err := json.NewEncoder(w).Encode(v); err != nil {
@@ -60,7 +60,7 @@
 }
 
 // NotFound answers paths that mean nothing here.
-func (c *Chatter) NotFound(w http.ResponseWriter, q *http.Request) {
+func (c *Handler) NotFound(w http.ResponseWriter, q *http.Request) {
 	w.Header().Set(refuser.VMHeader, c.config.VM)
 	refuser.New(http.StatusNotFound, "no_such_path", "%s %.80q is served by nothing here", q.Method, q.URL.Path).Write(w)
 }
--- a/entry/request/chatter/relay.go
+++ b/entry/request/chatter/relay.go
@@ -63,11 +63,11 @@
 			return nil
 		}
 		if errors.Is(err, streamer.ErrGone) {
-			a.chatter.watcher.Turned(last, 0, "lost")
+			a.chatter.watcher.ReportCold(last, 0, "lost")
 			return err
 		}
 		if n++; n > mostResumes || !wait(ctx, resumePause<<n) {
-			a.chatter.watcher.Turned(last, 0, "reset")
+			a.chatter.watcher.ReportCold(last, 0, "reset")
 			return err
 		}
 	}
@@ -79,7 +79,7 @@
 		a.first = true
 		a.job.forget()
 		c.acquirer.Begun(a.call, a.grant)
-		c.watcher.First(a.id)
+		c.watcher.FirstToken(a.id)
 		c.meter.Time("chat.first", c.now().Sub(a.job.arrived))
 	}
 	if err := a.writer.token(w, t); err != nil {
--- a/entry/request/chatter/run.go
+++ b/entry/request/chatter/run.go
@@ -28,7 +28,7 @@
 
 // run has the work done, at another upstream where one has failed before the
 // first token and nothing can run twice unseen.
-func (c *Chatter) run(ctx context.Context, w http.ResponseWriter, j *job) {
+func (c *Handler) run(ctx context.Context, w http.ResponseWriter, j *job) {
 	for {
 		call := dispatcher.Call{Pool: j.pool, Ask: j.ask(), Avoid: j.avoid}
 		grant, refusal := c.acquirer.Acquire(ctx, call)
@@ -93,7 +93,7 @@
 
 // again decides whether the work is sent to another upstream; where it is not,
 // it ends the request with the failure.
-func (c *Chatter) again(ctx context.Context, w http.ResponseWriter, j *job, a *attempt, f *failure) bool {
+func (c *Handler) again(ctx context.Context, w http.ResponseWriter, j *job, a *attempt, f *failure) bool {
 	j.avoid = append(j.avoid, a.grant.Names()...)
 	if len(j.avoid) >= len(j.pool.Upstreams) {
 		j.avoid = nil
@@ -158,7 +158,7 @@
 
 // An attempt is one sending of a job to the upstreams of a grant.
 type attempt struct {
-	chatter *Chatter
+	chatter *Handler
 	job     *job
 	call    dispatcher.Call
 	grant   *dispatcher.Grant
@@ -178,7 +178,7 @@
 	clear bool
 }
 
-func (c *Chatter) attempt(j *job, call dispatcher.Call, g *dispatcher.Grant) *attempt {
+func (c *Handler) attempt(j *job, call dispatcher.Call, g *dispatcher.Grant) *attempt {
 	a := &attempt{chatter: c, job: j, call: call, grant: g, id: j.id}
 	if j.tries > 1 {
 		a.id += "." + strconv.Itoa(j.tries)
@@ -195,8 +195,8 @@
 		header.Set(refuser.TriesHeader, strconv.Itoa(a.job.tries))
 	}
 	last := a.grant.Parts[len(a.grant.Parts)-1]
-	a.chatter.watcher.Begun(last.Upstream.Name, a.id, last.Tokens+last.Ahead, float64(last.Upstream.Prefill))
-	defer a.chatter.watcher.Ended(a.id)
+	a.chatter.watcher.RequestSent(last.Upstream.Name, a.id, last.Tokens+last.Ahead, float64(last.Upstream.Prefill))
+	defer a.chatter.watcher.RequestEnded(a.id)
 	stream, f := a.open(ctx)
 	if f != nil {
 		a.release(dispatcher.Refused)
@@ -285,13 +285,13 @@
 	}
 	var r *streamer.RefusedError
 	if !errors.As(err, &r) {
-		a.chatter.watcher.Turned(part.Upstream.Name, 0, "reset")
+		a.chatter.watcher.ReportCold(part.Upstream.Name, 0, "reset")
 		return &failure{err: err, sent: true}
 	}
 	a.held[len(a.held)-1].clear = !r.MayHaveRun
 	switch r.Code {
 	case "boot", "down", "unreached":
-		a.chatter.watcher.Turned(part.Upstream.Name, r.Boot, r.Code)
+		a.chatter.watcher.ReportCold(part.Upstream.Name, r.Boot, r.Code)
 	}
 	return &failure{err: err, sent: sent || r.MayHaveRun}
 }
--- a/entry/request/parser/parser.go
+++ b/entry/request/parser/parser.go
@@ -16,17 +16,17 @@
 // mostMessages bounds the messages of one request.
 const mostMessages = 100_000
 
-// A Chat is a request for a chat completion.
-type Chat struct {
+// A ChatRequest is a request for a chat completion.
+type ChatRequest struct {
 	Model string
 	// Prompt is the messages as the one text that engines read.
 	Prompt string
-	// Output is the most tokens to answer with; 0 where the caller set none.
-	Output int
+	// MaxTokens is the most tokens to answer with; 0 where the caller set none.
+	MaxTokens int
 	// Stream asks for the answer token by token, Usage for a last chunk that
 	// counts them.
-	Stream bool
-	Usage  bool
+	Stream       bool
+	IncludeUsage bool
 }
 
 type request struct {
@@ -80,7 +80,7 @@
 }
 
 // Parse reads a body.
-func Parse(data []byte) (*Chat, *refuser.Refusal) {
+func Parse(data []byte) (*ChatRequest, *refuser.Refusal) {
 	var q request
 	d := json.NewDecoder(bytes.NewReader(data))
 	if err := d.Decode(&q); err != nil {
@@ -92,7 +92,7 @@
 	return q.chat()
 }
 
-func (q *request) chat() (*Chat, *refuser.Refusal) {
+func (q *request) chat() (*ChatRequest, *refuser.Refusal) {
 	switch {
 	case q.Model == "":
 		return nil, refuser.BadRequest("model", "missing", "model is missing")
@@ -113,8 +113,8 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	c := &Chat{Model: q.Model, Prompt: prompt, Output: output, Stream: q.Stream}
-	c.Usage = q.Options != nil && q.Options.Usage
+	c := &ChatRequest{Model: q.Model, Prompt: prompt, MaxTokens: output, Stream: q.Stream}
+	c.IncludeUsage = q.Options != nil && q.Options.Usage
 	return c, nil
 }
 
--- a/entry/request/parser/parser_test.go
+++ b/entry/request/parser/parser_test.go
@@ -28,7 +28,7 @@
 			c, refusal := parser.Parse([]byte(test.body))
 			assert.Assert(t, refusal == nil, "%v", refusal)
 			assert.Equal(t, c.Prompt, test.prompt)
-			assert.Equal(t, c.Output, test.output)
+			assert.Equal(t, c.MaxTokens, test.output)
 		})
 	}
 }
--- a/entry/request/passer/keyed.go
+++ b/entry/request/passer/keyed.go
@@ -26,7 +26,7 @@
 
 // keyed answers a call that carries a key: with the outcome of the first call
 // of its key, or by being that first call.
-func (p *Passer) keyed(ctx context.Context, w http.ResponseWriter, c *call, key string) {
+func (p *Proxy) keyed(ctx context.Context, w http.ResponseWriter, c *call, key string) {
 	a := p.deps.Deduplicator.Begin(ctx, deduplicator.Call{
 		Team: c.team.Name, Service: c.service, Key: key, Method: c.method, Path: c.path, Body: c.body.Data,
 		Dated: c.view.Manifest.Services[c.service].Keys != "any",
@@ -44,7 +44,7 @@
 // first sends a call that is the first of its key. It goes on when its caller
 // goes away: that one will ask again with its key, and should get the outcome
 // instead of "unknown".
-func (p *Passer) first(ctx context.Context, w http.ResponseWriter, c *call, t *deduplicator.Ticket) {
+func (p *Proxy) first(ctx context.Context, w http.ResponseWriter, c *call, t *deduplicator.Ticket) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), c.deadline)
 	defer cancel()
 	o := p.run(ctx, c, func() *refuser.Refusal {
@@ -79,7 +79,7 @@
 var volatile = map[string]bool{"Content-Length": true, "Date": true, "Set-Cookie": true}
 
 // replay answers with an earlier call's outcome.
-func (p *Passer) replay(w http.ResponseWriter, o *recorder.Outcome) {
+func (p *Proxy) replay(w http.ResponseWriter, o *recorder.Outcome) {
 	p.deps.Meter.Count("service.replayed", 1)
 	h := w.Header()
 	for name, value := range o.Header {
--- a/entry/request/passer/passer.go
+++ b/entry/request/passer/passer.go
@@ -23,8 +23,8 @@
 	"github.com/heathervane/heathervane/entry/version/viewer"
 )
 
-// Prefix is where calls of services stand.
-const Prefix = "/services/"
+// PathPrefix is where calls of services stand.
+const PathPrefix = "/services/"
 
 // Headers that a call carries to its service.
 const (
@@ -39,9 +39,9 @@
 	Acquire(ctx context.Context, c dispatcher.Call) (*dispatcher.Grant, *refuser.Refusal)
 }
 
-// A Watcher hears evidence that an upstream has turned cold.
-type Watcher interface {
-	Turned(upstream string, boot uint64, cause string)
+// A Observer hears evidence that an upstream has turned cold.
+type Observer interface {
+	ReportCold(upstream string, boot uint64, cause string)
 }
 
 // A Retrier decides whether a call is sent again.
@@ -67,10 +67,10 @@
 
 // Deps are what a Passer works with.
 type Deps struct {
-	Views        func() *viewer.View
+	View         func() *viewer.View
 	Reader       *reader.Reader
 	Acquirer     Acquirer
-	Watcher      Watcher
+	Observer     Observer
 	Retrier      Retrier
 	Deduplicator Deduplicator
 	// Quarantine knows the requests that crash upstreams.
@@ -79,8 +79,8 @@
 	Now        func() time.Time
 }
 
-// A Passer passes calls through.
-type Passer struct {
+// A Proxy passes calls through.
+type Proxy struct {
 	vm       string
 	boot     uint64
 	deps     Deps
@@ -90,8 +90,8 @@
 }
 
 // New returns a Passer for a VM's process.
-func New(vm string, boot uint64, d Deps) *Passer {
-	return &Passer{vm: vm, boot: boot, deps: d, again: newClient(true), once: newClient(false)}
+func New(vm string, boot uint64, d Deps) *Proxy {
+	return &Proxy{vm: vm, boot: boot, deps: d, again: newClient(true), once: newClient(false)}
 }
 
 // newClient returns a client of services. One for calls that may not be
@@ -132,7 +132,7 @@
 }
 
 // ServeHTTP answers one call.
-func (p *Passer) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	arrived := p.deps.Now()
 	w.Header().Set(refuser.VMHeader, p.vm)
 	p.deps.Meter.Count("service.calls", 1)
@@ -157,13 +157,13 @@
 	p.answer(w, outcome)
 }
 
-func (p *Passer) refuse(w http.ResponseWriter, r *refuser.Refusal) {
+func (p *Proxy) refuse(w http.ResponseWriter, r *refuser.Refusal) {
 	p.deps.Meter.Count("service.refused."+r.Code, 1)
 	r.Write(w)
 }
 
-func (p *Passer) accept(w http.ResponseWriter, q *http.Request, arrived time.Time) (*call, *refuser.Refusal) {
-	v := p.deps.Views()
+func (p *Proxy) accept(w http.ResponseWriter, q *http.Request, arrived time.Time) (*call, *refuser.Refusal) {
+	v := p.deps.View()
 	if v == nil {
 		return nil, authenticator.NotReady()
 	}
@@ -171,7 +171,7 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	name, path, _ := strings.Cut(strings.TrimPrefix(q.URL.EscapedPath(), Prefix), "/")
+	name, path, _ := strings.Cut(strings.TrimPrefix(q.URL.EscapedPath(), PathPrefix), "/")
 	pool, ok := v.Service(name)
 	if !ok {
 		return nil, refuser.New(http.StatusNotFound, "service_not_found", "there is no service %.60q", name)
@@ -180,7 +180,7 @@
 		return nil, refuser.BadRequest("Upgrade", "unsupported", "calls cannot change their protocol")
 	}
 	s := v.Manifest.Services[name]
-	limit, refusal := authenticator.Limit(q, s.Limit, s.Least, s.Most)
+	limit, refusal := authenticator.Timeout(q, s.Limit, s.Least, s.Most)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -191,7 +191,7 @@
 	c := &call{
 		id: p.id(), method: q.Method, path: "/" + path, service: name, team: team, pool: pool, view: v,
 		header: trimmer.EndToEndHeaders(q.Header), body: body, arrived: arrived, deadline: arrived.Add(limit),
-		repeatable: v.Repeatable(name, q.Method, q.URL.Path[min(len(q.URL.Path), len(Prefix)+len(name)):]),
+		repeatable: v.Repeatable(name, q.Method, q.URL.Path[min(len(q.URL.Path), len(PathPrefix)+len(name)):]),
 	}
 	if q.URL.RawQuery != "" {
 		c.path += "?" + q.URL.RawQuery
@@ -204,7 +204,7 @@
 	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the call has crashed the upstreams that ran it").WithRetryAfter(after)
 }
 
-func (p *Passer) id() string {
+func (p *Proxy) id() string {
 	n := p.sequence.Add(1)
 	return p.vm + "-" + strconv.FormatUint(p.boot, 36) + "-c" + strconv.FormatUint(n, 36)
 }
--- a/entry/request/passer/passer_test.go
+++ b/entry/request/passer/passer_test.go
@@ -78,7 +78,7 @@
 
 type deaf struct{}
 
-func (deaf) Turned(string, uint64, string) {}
+func (deaf) ReportCold(string, uint64, string) {}
 
 func newPasser(t *testing.T, address string) *httptest.Server {
 	t.Helper()
@@ -97,9 +97,9 @@
 		Upstreams: map[string]checker.Upstream{"b1": {Service: "booking", Address: address, Slots: 4}},
 	}, func(string, string) bool { return false })
 	handler := passer.New("vm1", 3, passer.Deps{
-		Views:    func() *viewer.View { return view },
+		View:     func() *viewer.View { return view },
 		Reader:   &reader.Reader{MaxBytes: 4096, Budget: bounder.New(1 << 20), Timeout: time.Second},
-		Acquirer: p, Watcher: deaf{}, Meter: meter.New(), Now: time.Now,
+		Acquirer: p, Observer: deaf{}, Meter: meter.New(), Now: time.Now,
 		Retrier:    retrier.New(retrier.Config{}, rand.New(rand.NewPCG(1, 2))),
 		Quarantine: quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: nobody}),
 	})
--- a/entry/request/passer/send.go
+++ b/entry/request/passer/send.go
@@ -43,7 +43,7 @@
 // run gets a place for a call and sends it, again only where nothing can run
 // twice. Before each sending it asks ready, if there is one, whether the call
 // may still be sent.
-func (p *Passer) run(ctx context.Context, c *call, ready func() *refuser.Refusal) outcome {
+func (p *Proxy) run(ctx context.Context, c *call, ready func() *refuser.Refusal) outcome {
 	sent := false
 	for {
 		grant, refusal := p.deps.Acquirer.Acquire(ctx, dispatcher.Call{Pool: c.pool, Ask: c.ask(), Avoid: c.avoid})
@@ -87,7 +87,7 @@
 	return r
 }
 
-func (p *Passer) repeat(ctx context.Context, c *call, g *dispatcher.Grant, f *failure) bool {
+func (p *Proxy) repeat(ctx context.Context, c *call, g *dispatcher.Grant, f *failure) bool {
 	c.avoid = append(c.avoid, g.Names()...)
 	if len(c.avoid) >= len(c.pool.Upstreams) {
 		c.avoid = nil
@@ -148,7 +148,7 @@
 }
 
 // send sends a call once.
-func (p *Passer) send(ctx context.Context, c *call, g *dispatcher.Grant) (*answer, *failure) {
+func (p *Proxy) send(ctx context.Context, c *call, g *dispatcher.Grant) (*answer, *failure) {
 	part := g.Parts[0]
 	if !part.Slot.Live() {
 		g.Done(dispatcher.Cancelled)
@@ -171,7 +171,7 @@
 	if err != nil {
 		g.Done(dispatcher.Cut)
 		if ctx.Err() == nil {
-			p.deps.Watcher.Turned(part.Upstream.Name, 0, "reset")
+			p.deps.Observer.ReportCold(part.Upstream.Name, 0, "reset")
 		}
 		return nil, &failure{err: err, sent: connected.Load()}
 	}
@@ -193,12 +193,12 @@
 	return q, nil
 }
 
-func (p *Passer) receive(c *call, g *dispatcher.Grant, response *http.Response) (*answer, *failure) {
+func (p *Proxy) receive(c *call, g *dispatcher.Grant, response *http.Response) (*answer, *failure) {
 	part := g.Parts[0]
 	if response.Header.Get(ranHeader) == string(refuser.RanNo) {
 		g.Done(dispatcher.Refused)
 		if response.StatusCode == http.StatusServiceUnavailable {
-			p.deps.Watcher.Turned(part.Upstream.Name, 0, "down")
+			p.deps.Observer.ReportCold(part.Upstream.Name, 0, "down")
 		}
 		seconds, err := strconv.Atoi(response.Header.Get("Retry-After"))
 		if err != nil {
@@ -227,7 +227,7 @@
 	return refuser.RanYes
 }
 
-func (p *Passer) answer(w http.ResponseWriter, o outcome) {
+func (p *Proxy) answer(w http.ResponseWriter, o outcome) {
 	if o.refusal != nil {
 		p.refuse(w, o.refusal)
 		return
