--- a/entry/request/authenticator/authenticator.go
+++ b/entry/request/authenticator/authenticator.go
@@ -1,5 +1,5 @@
-// Package authenticator is what every request passes first: the team that its token
-// names, and the time limit that it asks for. It reads headers only.
+// Package authenticator authenticates requests by their bearer token and reads
+// their time limit. It reads headers only.
 package authenticator
 
 import (
@@ -12,15 +12,15 @@
 	"github.com/heathervane/heathervane/library/checker"
 )
 
-// TimeoutHeader asks for a time limit in seconds.
+// TimeoutHeader is the request header with the caller's time limit in seconds.
 const TimeoutHeader = "Request-Timeout"
 
-// NotReady is the refusal of a VM that has found no configuration yet.
+// NotReady returns the refusal of a VM that has not loaded a configuration yet.
 func NotReady() *refuser.Refusal {
 	return refuser.New(http.StatusServiceUnavailable, "not_ready", "this VM has no configuration yet").WithRetryAfter(time.Second)
 }
 
-// Team returns the team of a request.
+// Team returns the team that the bearer token of a request belongs to.
 func Team(v *viewer.View, q *http.Request) (viewer.Team, *refuser.Refusal) {
 	scheme, bearer, _ := strings.Cut(q.Header.Get("Authorization"), " ")
 	if strings.EqualFold(scheme, "Bearer") {
@@ -31,9 +31,11 @@
 	return viewer.Team{}, refuser.New(http.StatusUnauthorized, "unknown_token", "the bearer token is missing or names no team")
 }
 
-// Timeout returns the time limit of a request within the bounds of its work.
-func Timeout(q *http.Request, limit, least, most checker.Duration) (time.Duration, *refuser.Refusal) {
-	d, err := viewer.Limit(q.Header.Get(TimeoutHeader), limit, least, most)
+// Timeout returns the time limit of a request: that of its Request-Timeout
+// header, which must be between minLimit and maxLimit, or defaultLimit if it
+// has none.
+func Timeout(q *http.Request, defaultLimit, minLimit, maxLimit checker.Duration) (time.Duration, *refuser.Refusal) {
+	d, err := viewer.Limit(q.Header.Get(TimeoutHeader), defaultLimit, minLimit, maxLimit)
 	if err != nil {
 		return 0, refuser.BadRequest(TimeoutHeader, "bad_timeout", "%s", err)
 	}
