--- a/entry/request/parser/parser.go
+++ b/entry/request/parser/parser.go
@@ -1,6 +1,6 @@
-// Package parser reads requests for chat completions in the OpenAI format. It
-// takes what the engines can honour and names the place of what it refuses;
-// fields that only shape sampling are passed over, as the format allows.
+// Package parser parses chat completion requests in the OpenAI format. It
+// rejects what the engines do not support and names the invalid parameter. It
+// ignores fields that only affect sampling, as the format allows.
 package parser
 
 import (
@@ -13,35 +13,36 @@
 	"github.com/heathervane/heathervane/entry/request/refuser"
 )
 
-// mostMessages bounds the messages of one request.
-const mostMessages = 100_000
+// maxMessages limits the number of messages in a request.
+const maxMessages = 100_000
 
-// A ChatRequest is a request for a chat completion.
+// A ChatRequest is a parsed chat completion request.
 type ChatRequest struct {
 	Model string
-	// Prompt is the messages as the one text that engines read.
+	// Prompt is the text of all messages, as sent to the engine.
 	Prompt string
-	// MaxTokens is the most tokens to answer with; 0 where the caller set none.
+	// MaxTokens limits the length of the completion; 0 if the caller set no
+	// limit.
 	MaxTokens int
-	// Stream asks for the answer token by token, Usage for a last chunk that
-	// counts them.
+	// Stream requests the completion as a stream of tokens, IncludeUsage a
+	// final chunk with the token counts.
 	Stream       bool
 	IncludeUsage bool
 }
 
 type request struct {
-	Model    string    `json:"model"`
-	Messages []message `json:"messages"`
-	Stream   bool      `json:"stream"`
-	Options  *options  `json:"stream_options"`
-	Most     *int      `json:"max_tokens"`
-	MostNew  *int      `json:"max_completion_tokens"`
-	N        *int      `json:"n"`
-	Tools    []any     `json:"tools"`
+	Model               string         `json:"model"`
+	Messages            []message      `json:"messages"`
+	Stream              bool           `json:"stream"`
+	StreamOptions       *streamOptions `json:"stream_options"`
+	MaxTokens           *int           `json:"max_tokens"`
+	MaxCompletionTokens *int           `json:"max_completion_tokens"`
+	N                   *int           `json:"n"`
+	Tools               []any          `json:"tools"`
 }
 
-type options struct {
-	Usage bool `json:"include_usage"`
+type streamOptions struct {
+	IncludeUsage bool `json:"include_usage"`
 }
 
 type message struct {
@@ -49,7 +50,8 @@
 	Content content `json:"content"`
 }
 
-// content is a string, or an array of parts of which the texts are taken.
+// content is the text of a message, encoded as a string or as an array of text
+// parts.
 type content string
 
 type part struct {
@@ -57,9 +59,9 @@
 	Text string `json:"text"`
 }
 
-var errPart = errors.New("only parts of type text can be read")
+var errUnsupportedPart = errors.New("only parts of type text can be read")
 
-// UnmarshalJSON reads either form.
+// UnmarshalJSON accepts both encodings.
 func (c *content) UnmarshalJSON(data []byte) error {
 	if len(data) > 0 && data[0] != '[' {
 		return json.Unmarshal(data, (*string)(c))
@@ -71,7 +73,7 @@
 	var b strings.Builder
 	for _, p := range parts {
 		if p.Type != "text" {
-			return errPart
+			return errUnsupportedPart
 		}
 		b.WriteString(p.Text)
 	}
@@ -79,33 +81,34 @@
 	return nil
 }
 
-// Parse reads a body.
+// Parse parses the body of a request. On failure it returns the refusal to
+// send.
 func Parse(data []byte) (*ChatRequest, *refuser.Refusal) {
 	var q request
 	d := json.NewDecoder(bytes.NewReader(data))
 	if err := d.Decode(&q); err != nil {
-		return nil, syntax(err)
+		return nil, decodeRefusal(err)
 	}
 	if d.More() {
 		return nil, refuser.BadRequest("", "bad_json", "more than one JSON value stands in the body, the second at byte %d", d.InputOffset())
 	}
-	return q.chat()
+	return q.chatRequest()
 }
 
-func (q *request) chat() (*ChatRequest, *refuser.Refusal) {
+func (q *request) chatRequest() (*ChatRequest, *refuser.Refusal) {
 	switch {
 	case q.Model == "":
 		return nil, refuser.BadRequest("model", "missing", "model is missing")
 	case len(q.Messages) == 0:
 		return nil, refuser.BadRequest("messages", "missing", "messages is missing or empty")
-	case len(q.Messages) > mostMessages:
-		return nil, refuser.BadRequest("messages", "too_many", "there are more than %d messages", mostMessages)
+	case len(q.Messages) > maxMessages:
+		return nil, refuser.BadRequest("messages", "too_many", "there are more than %d messages", maxMessages)
 	case q.N != nil && *q.N != 1:
 		return nil, refuser.BadRequest("n", "unsupported", "only one choice can be asked for")
 	case len(q.Tools) > 0:
 		return nil, refuser.BadRequest("tools", "unsupported", "tools are not supported")
 	}
-	output, refusal := q.output()
+	maxTokens, refusal := q.maxTokens()
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -113,37 +116,37 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	c := &ChatRequest{Model: q.Model, Prompt: prompt, MaxTokens: output, Stream: q.Stream}
-	c.IncludeUsage = q.Options != nil && q.Options.Usage
+	c := &ChatRequest{Model: q.Model, Prompt: prompt, MaxTokens: maxTokens, Stream: q.Stream}
+	c.IncludeUsage = q.StreamOptions != nil && q.StreamOptions.IncludeUsage
 	return c, nil
 }
 
-func (q *request) output() (int, *refuser.Refusal) {
-	most, place := q.Most, "max_tokens"
-	if q.MostNew != nil {
-		most, place = q.MostNew, "max_completion_tokens"
+func (q *request) maxTokens() (int, *refuser.Refusal) {
+	limit, param := q.MaxTokens, "max_tokens"
+	if q.MaxCompletionTokens != nil {
+		limit, param = q.MaxCompletionTokens, "max_completion_tokens"
 	}
-	if most == nil {
+	if limit == nil {
 		return 0, nil
 	}
-	if *most < 1 {
-		return 0, refuser.BadRequest(place, "bad_value", "%s must be at least 1", place)
+	if *limit < 1 {
+		return 0, refuser.BadRequest(param, "bad_value", "%s must be at least 1", param)
 	}
-	return *most, nil
+	return *limit, nil
 }
 
 func (q *request) prompt() (string, *refuser.Refusal) {
 	size := 0
 	for i, m := range q.Messages {
 		if m.Role == "" {
-			place := fmt.Sprintf("messages[%d].role", i)
-			return "", refuser.BadRequest(place, "missing", "%s is missing", place)
+			param := fmt.Sprintf("messages[%d].role", i)
+			return "", refuser.BadRequest(param, "missing", "%s is missing", param)
 		}
 		size += len(m.Role) + len(m.Content) + len(": \n")
 	}
 	if len(q.Messages) == 1 && q.Messages[0].Role == "user" {
-		// The common case of one question keeps its text as it stands, and a
-		// long document is not copied once more.
+		// In the common case, a single user message, the text is used as is: it
+		// may be long, and is not copied again.
 		return string(q.Messages[0].Content), nil
 	}
 	var b strings.Builder
@@ -157,7 +160,7 @@
 	return b.String(), nil
 }
 
-func syntax(err error) *refuser.Refusal {
+func decodeRefusal(err error) *refuser.Refusal {
 	var s *json.SyntaxError
 	if errors.As(err, &s) {
 		return refuser.BadRequest("", "bad_json", "the body is not JSON: %s at byte %d", s, s.Offset)
@@ -166,7 +169,7 @@
 	if errors.As(err, &t) {
 		return refuser.BadRequest(t.Field, "bad_type", "%s cannot be a %s", t.Field, t.Value)
 	}
-	if errors.Is(err, errPart) {
+	if errors.Is(err, errUnsupportedPart) {
 		return refuser.BadRequest("messages", "unsupported", "%s", err)
 	}
 	return refuser.BadRequest("", "bad_json", "the body is not whole JSON")
--- a/entry/request/parser/parser_test.go
+++ b/entry/request/parser/parser_test.go
@@ -15,13 +15,13 @@
 		name, body, prompt string
 		output             int
 	}{
-		{"one question", `{"model":"m","messages":[{"role":"user","content":"hi"}]}`, "hi", 0},
-		{"parts", `{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}]}`, "ab", 0},
+		{"single user message", `{"model":"m","messages":[{"role":"user","content":"hi"}]}`, "hi", 0},
+		{"text parts", `{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}]}`, "ab", 0},
 		{"two messages", `{"model":"m","messages":[{"role":"system","content":"s"},{"role":"user","content":"u"}]}`, "system: s\nuser: u\n", 0},
-		{"old limit", `{"model":"m","max_tokens":5,"messages":[{"role":"user","content":"u"}]}`, "u", 5},
-		{"new limit", `{"model":"m","max_completion_tokens":6,"messages":[{"role":"user","content":"u"}]}`, "u", 6},
-		{"fields it passes over", `{"model":"m","temperature":0.2,"user":"x","messages":[{"role":"user","content":"u"}]}`, "u", 0},
-		{"an empty content", `{"model":"m","messages":[{"role":"user","content":null}]}`, "", 0},
+		{"max_tokens", `{"model":"m","max_tokens":5,"messages":[{"role":"user","content":"u"}]}`, "u", 5},
+		{"max_completion_tokens", `{"model":"m","max_completion_tokens":6,"messages":[{"role":"user","content":"u"}]}`, "u", 6},
+		{"ignored fields", `{"model":"m","temperature":0.2,"user":"x","messages":[{"role":"user","content":"u"}]}`, "u", 0},
+		{"null content", `{"model":"m","messages":[{"role":"user","content":null}]}`, "", 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -33,21 +33,21 @@
 	}
 }
 
-func TestBadInputNamesItsPlace(t *testing.T) {
+func TestInvalidInputNamesParameter(t *testing.T) {
 	tests := []struct {
 		name, body, param, code, text string
 	}{
 		{"empty", ``, "", "bad_json", "whole JSON"},
-		{"half", `{"model":"m"`, "", "bad_json", "whole JSON"},
-		{"wrong mark", `{"model" "m"}`, "", "bad_json", "at byte 10"},
+		{"truncated", `{"model":"m"`, "", "bad_json", "whole JSON"},
+		{"missing colon", `{"model" "m"}`, "", "bad_json", "at byte 10"},
 		{"two values", `{"model":"m","messages":[{"role":"user","content":"u"}]} {}`, "", "bad_json", "second"},
 		{"wrong type", `{"model":7}`, "model", "bad_type", "number"},
 		{"no model", `{"messages":[{"role":"user","content":"u"}]}`, "model", "missing", "model"},
 		{"no messages", `{"model":"m"}`, "messages", "missing", "messages"},
 		{"no role", `{"model":"m","messages":[{"content":"u"}]}`, "messages[0].role", "missing", "role"},
-		{"an image", `{"model":"m","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, "messages", "unsupported", "text"},
+		{"image part", `{"model":"m","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, "messages", "unsupported", "text"},
 		{"two choices", `{"model":"m","n":2,"messages":[{"role":"user","content":"u"}]}`, "n", "unsupported", "one choice"},
-		{"no output", `{"model":"m","max_tokens":0,"messages":[{"role":"user","content":"u"}]}`, "max_tokens", "bad_value", "at least 1"},
+		{"max_tokens of 0", `{"model":"m","max_tokens":0,"messages":[{"role":"user","content":"u"}]}`, "max_tokens", "bad_value", "at least 1"},
 		{"tools", `{"model":"m","tools":[{}],"messages":[{"role":"user","content":"u"}]}`, "tools", "unsupported", "tools"},
 	}
 	for _, test := range tests {
