--- a/entry/request/passer/crash_test.go
+++ b/entry/request/passer/crash_test.go
@@ -16,20 +16,21 @@
 	"github.com/heathervane/heathervane/entry/version/viewer"
 )
 
-// turns gives another upstream each time, all at one address.
-type turns struct {
+// rotatingAcquirer grants a different upstream each time, all at one address.
+type rotatingAcquirer struct {
 	address string
-	given   atomic.Int64
+	granted atomic.Int64
 }
 
-func (p *turns) Acquire(context.Context, dispatcher.Call) (*dispatcher.Grant, *refuser.Refusal) {
-	u := viewer.Upstream{Name: "b" + strconv.FormatInt(p.given.Add(1), 10)}
-	u.Address = p.address
-	return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: u, Slot: slot{}}}}, nil
+func (a *rotatingAcquirer) Acquire(context.Context, dispatcher.Call) (*dispatcher.Grant, *refuser.Refusal) {
+	u := viewer.Upstream{Name: "b" + strconv.FormatInt(a.granted.Add(1), 10)}
+	u.Address = a.address
+	return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: u, Slot: fakeSlot{}}}}, nil
 }
 
-// A call that crashes each service that runs it would take down all of them.
-func TestACallThatCrashesServicesIsNotSentOn(t *testing.T) {
+// A call that crashes every service that runs it would otherwise take down all
+// of them.
+func TestCallThatCrashesServicesIsQuarantined(t *testing.T) {
 	var runs atomic.Int64
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if strings.HasSuffix(q.URL.Path, "/poison") {
@@ -39,7 +40,7 @@
 		w.Write([]byte("fine"))
 	}))
 	defer service.Close()
-	s := newPasserOver(t, service.URL, &turns{address: strings.TrimPrefix(service.URL, "http://")})
+	s := newProxyWithAcquirer(t, service.URL, &rotatingAcquirer{address: strings.TrimPrefix(service.URL, "http://")})
 	for range 6 {
 		send(t, s, http.MethodGet, "/services/booking/poison", "")
 	}
--- a/entry/request/passer/keyed.go
+++ b/entry/request/passer/keyed.go
@@ -12,21 +12,21 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// ReplayHeader says that an answer is an earlier call's with the same key.
+// ReplayHeader marks a response as that of an earlier call with the same key.
 const ReplayHeader = "Idempotent-Replayed"
 
-// checkRetry is when a call may come back whose ticket came too late: with the
-// same key it is judged anew.
-const checkRetry = time.Second
+// lateTicketRetryAfter is when a caller may retry a call whose ticket came too
+// late. With the same key, the retry gets a new decision.
+const lateTicketRetryAfter = time.Second
 
-// A Deduplicator judges calls with a key.
+// A Deduplicator decides whether a call with an idempotency key may be sent.
 type Deduplicator interface {
 	Begin(ctx context.Context, c deduplicator.Call) deduplicator.Answer
 }
 
-// keyed answers a call that carries a key: with the outcome of the first call
-// of its key, or by being that first call.
-func (p *Proxy) keyed(ctx context.Context, w http.ResponseWriter, c *call, key string) {
+// serveKeyed serves a call with an idempotency key: with the outcome of the
+// first call with that key, or by sending it if it is the first.
+func (p *Proxy) serveKeyed(ctx context.Context, w http.ResponseWriter, c *call, key string) {
 	a := p.deps.Deduplicator.Begin(ctx, deduplicator.Call{
 		Team: c.team.Name, Service: c.service, Key: key, Method: c.method, Path: c.path, Body: c.body.Data,
 		Dated: c.view.Manifest.Services[c.service].Keys != "any",
@@ -37,48 +37,50 @@
 	case a.Outcome != nil:
 		p.replay(w, a.Outcome)
 	default:
-		p.first(ctx, w, c, a.Ticket)
+		p.serveFirst(ctx, w, c, a.Ticket)
 	}
 }
 
-// first sends a call that is the first of its key. It goes on when its caller
-// goes away: that one will ask again with its key, and should get the outcome
-// instead of "unknown".
-func (p *Proxy) first(ctx context.Context, w http.ResponseWriter, c *call, t *deduplicator.Ticket) {
+// serveFirst sends the first call with its key. It continues if the caller
+// disconnects: the caller will retry with the same key, and should then get the
+// outcome instead of "unknown".
+func (p *Proxy) serveFirst(ctx context.Context, w http.ResponseWriter, c *call, t *deduplicator.Ticket) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), c.deadline)
 	defer cancel()
-	o := p.run(ctx, c, func() *refuser.Refusal {
+	result := p.run(ctx, c, func() *refuser.Refusal {
 		if err := t.Check(); err != nil {
-			return refuser.New(http.StatusServiceUnavailable, "key_late", "%s", err).WithRetryAfter(checkRetry)
+			return refuser.New(http.StatusServiceUnavailable, "key_late", "%s", err).WithRetryAfter(lateTicketRetryAfter)
 		}
 		return nil
 	})
 	switch {
-	case o.answer != nil && o.answer.ran == refuser.RanYes:
-		t.Done(o.answer.outcome())
-	case o.answer == nil && o.refusal.Ran == refuser.RanNo:
+	case result.response != nil && result.response.ran == refuser.RanYes:
+		t.Done(result.response.recordedOutcome())
+	case result.response == nil && result.refusal.Ran == refuser.RanNo:
 		t.Abandon()
 	default:
 		t.Done(recorder.Outcome{Unknown: true})
 	}
-	p.answer(w, o)
+	p.writeResult(w, result)
 }
 
-// outcome is what a repetition gets.
-func (a *answer) outcome() recorder.Outcome {
+// recordedOutcome returns the outcome that repeated calls with the same key
+// get.
+func (a *serviceResponse) recordedOutcome() recorder.Outcome {
 	o := recorder.Outcome{Status: a.status, Header: make(map[string]string), Body: a.body, Kept: true}
 	for _, name := range slices.Sorted(maps.Keys(a.header)) {
-		if len(o.Header) < recorder.MostHeaders && !volatile[name] {
+		if len(o.Header) < recorder.MostHeaders && !notReplayed[name] {
 			o.Header[name] = a.header.Get(name)
 		}
 	}
 	return o
 }
 
-// volatile are headers that belong to one answer only.
-var volatile = map[string]bool{"Content-Length": true, "Date": true, "Set-Cookie": true}
+// notReplayed lists the headers that apply only to the response they were sent
+// with.
+var notReplayed = map[string]bool{"Content-Length": true, "Date": true, "Set-Cookie": true}
 
-// replay answers with an earlier call's outcome.
+// replay writes the outcome of an earlier call.
 func (p *Proxy) replay(w http.ResponseWriter, o *recorder.Outcome) {
 	p.deps.Meter.Count("service.replayed", 1)
 	h := w.Header()
--- a/entry/request/passer/passer.go
+++ b/entry/request/passer/passer.go
@@ -1,7 +1,8 @@
-// Package passer passes calls through to plain services. A call that may not be
-// repeated is sent at most once, whatever happens, and "not run" is said only
-// where no byte of it can have left: the caller who is told so may safely try
-// again, and a booking made twice charges a member twice.
+// Package passer is a reverse proxy for plain services. A call that is not
+// repeatable is sent at most once in all cases, because a booking made twice
+// charges the customer twice. A call is reported as "not run" only if no byte
+// of it can have been sent or the service itself says so: the caller may then
+// safely retry it.
 package passer
 
 import (
@@ -23,34 +24,35 @@
 	"github.com/heathervane/heathervane/entry/version/viewer"
 )
 
-// PathPrefix is where calls of services stand.
+// PathPrefix is the URL path of calls to services; the name of the service
+// follows it.
 const PathPrefix = "/services/"
 
-// Headers that a call carries to its service.
+// Headers of calls and of the responses of services.
 const (
-	keyHeader  = "Idempotency-Key"
-	callHeader = "Call"
-	teamHeader = "Heathervane-Team"
-	ranHeader  = "Ran"
+	idempotencyKeyHeader = "Idempotency-Key"
+	callIDHeader         = "Call"
+	teamHeader           = "Heathervane-Team"
+	ranHeader            = "Ran"
 )
 
-// An Acquirer gives places at upstreams.
+// An Acquirer acquires slots at upstreams.
 type Acquirer interface {
 	Acquire(ctx context.Context, c dispatcher.Call) (*dispatcher.Grant, *refuser.Refusal)
 }
 
-// A Observer hears evidence that an upstream has turned cold.
+// An Observer is notified of evidence that an upstream is in cold start.
 type Observer interface {
 	ReportCold(upstream string, boot uint64, cause string)
 }
 
-// A Retrier decides whether a call is sent again.
+// A Retrier decides whether a failed call is retried.
 type Retrier interface {
 	Decide(now time.Time, a retrier.Attempt) retrier.Decision
 	Completed(n int)
 }
 
-// A Quarantine keeps requests from upstreams that crash whoever runs them, at all
+// A Quarantine holds back calls that crash the upstreams that run them, on all
 // VMs.
 type Quarantine interface {
 	Arrived(f fingerprinter.Fingerprint) (after time.Duration, held bool)
@@ -59,13 +61,13 @@
 	Served(f fingerprinter.Fingerprint)
 }
 
-// A Meter counts.
+// A Meter records metrics.
 type Meter interface {
 	Count(name string, n int64)
 	Time(name string, d time.Duration)
 }
 
-// Deps are what a Passer works with.
+// Deps are the dependencies of a Proxy.
 type Deps struct {
 	View         func() *viewer.View
 	Reader       *reader.Reader
@@ -73,44 +75,43 @@
 	Observer     Observer
 	Retrier      Retrier
 	Deduplicator Deduplicator
-	// Quarantine knows the requests that crash upstreams.
-	Quarantine Quarantine
-	Meter      Meter
-	Now        func() time.Time
+	Quarantine   Quarantine
+	Meter        Meter
+	Now          func() time.Time
 }
 
-// A Proxy passes calls through.
+// A Proxy forwards calls to services.
 type Proxy struct {
-	vm       string
-	boot     uint64
-	deps     Deps
-	again    *http.Client
-	once     *http.Client
-	sequence atomic.Uint64
+	vm              string
+	boot            uint64
+	deps            Deps
+	pooledClient    *http.Client
+	singleUseClient *http.Client
+	sequence        atomic.Uint64
 }
 
-// New returns a Passer for a VM's process.
+// New returns a Proxy for the process with the given VM ID and boot number.
 func New(vm string, boot uint64, d Deps) *Proxy {
-	return &Proxy{vm: vm, boot: boot, deps: d, again: newClient(true), once: newClient(false)}
+	return &Proxy{vm: vm, boot: boot, deps: d, pooledClient: newClient(true), singleUseClient: newClient(false)}
 }
 
-// newClient returns a client of services. One for calls that may not be
-// repeated never uses a connection twice: net/http sends a request again on its
-// own when a kept connection turns out to be dead and the request has an empty
-// body and an Idempotency-Key, or may be replayed otherwise. Nobody would see
-// that but the member who is charged twice.
-func newClient(reuse bool) *http.Client {
+// newClient returns an HTTP client for services. Calls that are not repeatable
+// need one without keep-alive: net/http resends a request by itself if a reused
+// connection turns out to be closed and the request is replayable, for example
+// because it has an empty body and an Idempotency-Key header. This would go
+// unnoticed until a customer is charged twice.
+func newClient(keepAlive bool) *http.Client {
 	t := &http.Transport{
 		MaxIdleConnsPerHost: 64,
 		IdleConnTimeout:     time.Minute,
-		DisableKeepAlives:   !reuse,
+		DisableKeepAlives:   !keepAlive,
 		DisableCompression:  true,
 	}
-	stay := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &http.Client{Transport: t, CheckRedirect: stay}
+	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &http.Client{Transport: t, CheckRedirect: noRedirect}
 }
 
-// A call is one call on its way.
+// A call is the state of one call in progress.
 type call struct {
 	id       string
 	method   string
@@ -123,15 +124,15 @@
 	body     *reader.Body
 	arrived  time.Time
 	deadline time.Time
-	// repeatable says that it may be sent more than once.
+	// repeatable reports whether the call may be sent more than once.
 	repeatable bool
-	tries      int
+	attempts   int
 	avoid      []string
-	// fingerprint names what is asked for.
+	// fingerprint identifies the call in the quarantine.
 	fingerprint fingerprinter.Fingerprint
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP forwards one call and writes the response.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	arrived := p.deps.Now()
 	w.Header().Set(refuser.VMHeader, p.vm)
@@ -144,17 +145,18 @@
 	defer c.body.Release()
 	ctx, cancel := context.WithDeadline(q.Context(), c.deadline)
 	defer cancel()
-	if key := q.Header.Get(keyHeader); key != "" && !c.repeatable {
-		p.keyed(ctx, w, c, key)
+	if key := q.Header.Get(idempotencyKeyHeader); key != "" && !c.repeatable {
+		p.serveKeyed(ctx, w, c, key)
 		return
 	}
-	// A repeated key gets its first outcome, also while the call is held.
+	// A call that is not repeatable and has a key does not get here, so that a
+	// repeated key gets its first outcome even while the call is in quarantine.
 	if after, held := p.deps.Quarantine.Arrived(c.fingerprint); held {
-		p.refuse(w, quarantined(after))
+		p.refuse(w, quarantineRefusal(after))
 		return
 	}
-	outcome := p.run(ctx, c, nil)
-	p.answer(w, outcome)
+	result := p.run(ctx, c, nil)
+	p.writeResult(w, result)
 }
 
 func (p *Proxy) refuse(w http.ResponseWriter, r *refuser.Refusal) {
@@ -189,7 +191,7 @@
 		return nil, refusal
 	}
 	c := &call{
-		id: p.id(), method: q.Method, path: "/" + path, service: name, team: team, pool: pool, view: v,
+		id: p.nextID(), method: q.Method, path: "/" + path, service: name, team: team, pool: pool, view: v,
 		header: trimmer.EndToEndHeaders(q.Header), body: body, arrived: arrived, deadline: arrived.Add(limit),
 		repeatable: v.Repeatable(name, q.Method, q.URL.Path[min(len(q.URL.Path), len(PathPrefix)+len(name)):]),
 	}
@@ -200,11 +202,11 @@
 	return c, nil
 }
 
-func quarantined(after time.Duration) *refuser.Refusal {
+func quarantineRefusal(after time.Duration) *refuser.Refusal {
 	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the call has crashed the upstreams that ran it").WithRetryAfter(after)
 }
 
-func (p *Proxy) id() string {
+func (p *Proxy) nextID() string {
 	n := p.sequence.Add(1)
 	return p.vm + "-" + strconv.FormatUint(p.boot, 36) + "-c" + strconv.FormatUint(n, 36)
 }
--- a/entry/request/passer/passer_test.go
+++ b/entry/request/passer/passer_test.go
@@ -31,15 +31,15 @@
 
 const bearer = "steward"
 
-// A service counts the calls that reach it and answers each by a script.
-type service struct {
+// fakeService records the calls that it receives and responds by a script.
+type fakeService struct {
 	mu     sync.Mutex
 	calls  []*http.Request
 	bodies []string
 	script func(w http.ResponseWriter, n int)
 }
 
-func (s *service) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (s *fakeService) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	data, err := io.ReadAll(q.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -52,40 +52,40 @@
 	s.script(w, n)
 }
 
-// seen is the calls so far.
-func (s *service) seen() []*http.Request {
+// received returns the calls received so far.
+func (s *fakeService) received() []*http.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-type slot struct {
-	lapsed bool
+type fakeSlot struct {
+	expired bool
 }
 
-func (slot) Boot() uint64            { return 7 }
-func (s slot) Live() bool            { return !s.lapsed }
-func (slot) Done(dispatcher.Outcome) {}
+func (fakeSlot) Boot() uint64            { return 7 }
+func (s fakeSlot) Live() bool            { return !s.expired }
+func (fakeSlot) Done(dispatcher.Outcome) {}
 
-// places always gives the first upstream.
-type places struct {
-	lapsed bool
+// fakeAcquirer always grants the first upstream.
+type fakeAcquirer struct {
+	expired bool
 }
 
-func (p places) Acquire(_ context.Context, c dispatcher.Call) (*dispatcher.Grant, *refuser.Refusal) {
-	return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: c.Pool.Upstreams[0], Slot: slot(p)}}}, nil
+func (p fakeAcquirer) Acquire(_ context.Context, c dispatcher.Call) (*dispatcher.Grant, *refuser.Refusal) {
+	return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: c.Pool.Upstreams[0], Slot: fakeSlot(p)}}}, nil
 }
 
-type deaf struct{}
+type nopObserver struct{}
 
-func (deaf) ReportCold(string, uint64, string) {}
+func (nopObserver) ReportCold(string, uint64, string) {}
 
-func newPasser(t *testing.T, address string) *httptest.Server {
+func newProxy(t *testing.T, address string) *httptest.Server {
 	t.Helper()
-	return newPasserOver(t, address, places{})
+	return newProxyWithAcquirer(t, address, fakeAcquirer{})
 }
 
-func newPasserOver(t *testing.T, address string, p passer.Acquirer) *httptest.Server {
+func newProxyWithAcquirer(t *testing.T, address string, acquirer passer.Acquirer) *httptest.Server {
 	t.Helper()
 	sum := sha256.Sum256([]byte(bearer))
 	view := viewer.New(1, checker.Manifest{
@@ -99,22 +99,22 @@
 	handler := passer.New("vm1", 3, passer.Deps{
 		View:     func() *viewer.View { return view },
 		Reader:   &reader.Reader{MaxBytes: 4096, Budget: bounder.New(1 << 20), Timeout: time.Second},
-		Acquirer: p, Observer: deaf{}, Meter: meter.New(), Now: time.Now,
+		Acquirer: acquirer, Observer: nopObserver{}, Meter: meter.New(), Now: time.Now,
 		Retrier:    retrier.New(retrier.Config{}, rand.New(rand.NewPCG(1, 2))),
-		Quarantine: quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: nobody}),
+		Quarantine: quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: neverTrial}),
 	})
 	s := httptest.NewServer(handler)
 	t.Cleanup(s.Close)
 	return s
 }
 
-type reply struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func send(t *testing.T, s *httptest.Server, method, path, body string, headers ...string) reply {
+func send(t *testing.T, s *httptest.Server, method, path, body string, headers ...string) response {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), method, s.URL+path, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -127,25 +127,25 @@
 	defer a.Body.Close()
 	data, err := io.ReadAll(a.Body)
 	assert.NilError(t, err)
-	return reply{a.StatusCode, a.Header, string(data)}
+	return response{a.StatusCode, a.Header, string(data)}
 }
 
-func TestACallPassesThrough(t *testing.T) {
-	b := &service{script: func(w http.ResponseWriter, _ int) {
+func TestCallIsForwarded(t *testing.T) {
+	b := &fakeService{script: func(w http.ResponseWriter, _ int) {
 		w.Header().Set("X-Seat", "12")
 		w.WriteHeader(http.StatusCreated)
 		io.WriteString(w, "booked")
 	}}
 	upstream := httptest.NewServer(b)
 	defer upstream.Close()
-	s := newPasser(t, strings.TrimPrefix(upstream.URL, "http://"))
+	s := newProxy(t, strings.TrimPrefix(upstream.URL, "http://"))
 	got := send(t, s, http.MethodPost, "/services/booking/seats/7%2F8?day=sunday", "two", "X-Note", "n", "Connection", "X-Hop", "X-Hop", "h")
 	assert.Equal(t, got.status, http.StatusCreated)
 	assert.Equal(t, got.body, "booked")
 	assert.Equal(t, got.header.Get("X-Seat"), "12")
 	assert.Equal(t, got.header.Get("Heathervane-Ran"), "yes")
 	assert.Equal(t, got.header.Get("Heathervane-Upstream"), "b1")
-	q := b.seen()[0]
+	q := b.received()[0]
 	assert.Equal(t, q.RequestURI, "/seats/7%2F8?day=sunday")
 	assert.Equal(t, b.bodies[0], "two")
 	assert.Equal(t, q.Header.Get("X-Note"), "n")
@@ -154,10 +154,10 @@
 	assert.Equal(t, q.Header.Get("Heathervane-Team"), "hanbit")
 }
 
-// The service takes a booking and its connection dies before the answer. Sent
-// again, the member is charged twice. A look-up may be sent again, and the
-// caller sees that it was.
-func TestOnlyRepeatableCallsAreSentAgain(t *testing.T) {
+// The service accepts a booking, and the connection breaks before the response.
+// A retry would charge the customer twice. A look-up may be retried, and the
+// caller can tell that it was.
+func TestOnlyRepeatableCallsAreRetried(t *testing.T) {
 	reset := func(w http.ResponseWriter, n int) {
 		if n == 0 {
 			panic(http.ErrAbortHandler)
@@ -170,40 +170,40 @@
 		ran                string
 	}{
 		{"a booking", http.MethodPost, "/services/booking/seats", 1, http.StatusBadGateway, "unknown"},
-		{"a booking beside search", http.MethodPost, "/services/booking/search/../seats", 1, http.StatusBadGateway, "unknown"},
-		{"a booking under a like name", http.MethodPost, "/services/booking/searches", 1, http.StatusBadGateway, "unknown"},
+		{"a booking with dot segments after search", http.MethodPost, "/services/booking/search/../seats", 1, http.StatusBadGateway, "unknown"},
+		{"a booking whose path starts like search", http.MethodPost, "/services/booking/searches", 1, http.StatusBadGateway, "unknown"},
 		{"a change", http.MethodPut, "/services/booking/seats", 1, http.StatusBadGateway, "unknown"},
 		{"a look-up", http.MethodGet, "/services/booking/seats", 2, http.StatusOK, "yes"},
 		{"a search", http.MethodPost, "/services/booking/search/all", 2, http.StatusOK, "yes"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := &service{script: reset}
+			b := &fakeService{script: reset}
 			upstream := httptest.NewServer(b)
 			defer upstream.Close()
-			s := newPasser(t, strings.TrimPrefix(upstream.URL, "http://"))
+			s := newProxy(t, strings.TrimPrefix(upstream.URL, "http://"))
 			got := send(t, s, test.method, test.path, "")
 			assert.Equal(t, got.status, test.status, got.body)
 			assert.Equal(t, got.header.Get("Heathervane-Ran"), test.ran)
-			assert.Equal(t, len(b.seen()), test.calls)
+			assert.Equal(t, len(b.received()), test.calls)
 		})
 	}
 }
 
-// A service answers one call and then takes a second one on the same connection
-// and dies. net/http would send a request without a body again by itself,
-// because an Idempotency-Key makes it think that this is safe.
-func TestTheTransportRepeatsNothing(t *testing.T) {
+// A service responds to one call, then reads a second one from the same
+// connection and closes it. net/http would resend a request without a body by
+// itself, because it takes an Idempotency-Key as a sign that this is safe.
+func TestTransportDoesNotRetry(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	var mu sync.Mutex
-	heads := 0
+	requests := 0
 	go serveOnce(l, func() {
 		mu.Lock()
 		defer mu.Unlock()
-		heads++
+		requests++
 	})
-	s := newPasser(t, l.Addr().String())
+	s := newProxy(t, l.Addr().String())
 	first := send(t, s, http.MethodDelete, "/services/booking/seats/1", "")
 	assert.Equal(t, first.status, http.StatusOK, first.body)
 	for range 3 {
@@ -213,12 +213,12 @@
 	l.Close()
 	mu.Lock()
 	defer mu.Unlock()
-	assert.Equal(t, heads, 4)
+	assert.Equal(t, requests, 4)
 }
 
-// serveOnce answers the first request of each connection, and closes it at the
-// second without an answer.
-func serveOnce(l net.Listener, seen func()) {
+// serveOnce responds to the first request of each connection, and closes the
+// connection without a response at the second.
+func serveOnce(l net.Listener, onRequest func()) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -231,7 +231,7 @@
 				if _, err := c.Read(buffer); err != nil {
 					return
 				}
-				seen()
+				onRequest()
 				if n > 0 {
 					return
 				}
@@ -243,9 +243,9 @@
 	}
 }
 
-// "Not run" is said where the service says so itself or could not be reached,
-// and never where a byte may have left.
-func TestNotRunIsSaidOnlyWhereItIsTrue(t *testing.T) {
+// A call is reported as not run only if the service says so or could not be
+// reached, and never if a byte of it may have been sent.
+func TestNotRunIsReportedOnlyIfCertain(t *testing.T) {
 	refuse := func(w http.ResponseWriter, _ int) {
 		w.Header().Set("Ran", "no")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -256,57 +256,57 @@
 		script    func(http.ResponseWriter, int)
 	}{
 		{"refused by the service", "no", 503, refuse},
-		{"a gateway's word", "unknown", 502, func(w http.ResponseWriter, _ int) { w.WriteHeader(http.StatusBadGateway) }},
-		{"an error of the service", "yes", 500, func(w http.ResponseWriter, _ int) { w.WriteHeader(http.StatusInternalServerError) }},
-		{"half an answer", "unknown", 502, func(w http.ResponseWriter, _ int) {
+		{"a gateway error", "unknown", 502, func(w http.ResponseWriter, _ int) { w.WriteHeader(http.StatusBadGateway) }},
+		{"a service error", "yes", 500, func(w http.ResponseWriter, _ int) { w.WriteHeader(http.StatusInternalServerError) }},
+		{"an incomplete response", "unknown", 502, func(w http.ResponseWriter, _ int) {
 			w.Header().Set("Content-Length", "100")
 			io.WriteString(w, "half")
 		}},
-		{"no answer in time", "unknown", 504, func(http.ResponseWriter, int) { time.Sleep(300 * time.Millisecond) }},
+		{"no response in time", "unknown", 504, func(http.ResponseWriter, int) { time.Sleep(300 * time.Millisecond) }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := &service{script: test.script}
+			b := &fakeService{script: test.script}
 			upstream := httptest.NewServer(b)
 			defer upstream.Close()
-			s := newPasser(t, strings.TrimPrefix(upstream.URL, "http://"))
+			s := newProxy(t, strings.TrimPrefix(upstream.URL, "http://"))
 			got := send(t, s, http.MethodPost, "/services/booking/seats", "x", "Request-Timeout", "0.2")
 			assert.Equal(t, got.status, test.status, got.body)
 			assert.Equal(t, got.header.Get("Heathervane-Ran"), test.ran)
 		})
 	}
-	s := newPasser(t, "127.0.0.1:1")
+	s := newProxy(t, "127.0.0.1:1")
 	got := send(t, s, http.MethodPost, "/services/booking/seats", "x")
 	assert.Equal(t, got.header.Get("Heathervane-Ran"), "no")
 	assert.Equal(t, got.header.Get("Retry-After"), "1")
 }
 
-// A process is frozen between the moment it took a place and the sending. When
-// it wakes, others use the place; sending would overfill the service, and the
-// caller has long been told something else.
-func TestALapsedPlaceIsNotUsed(t *testing.T) {
-	b := &service{script: func(http.ResponseWriter, int) {}}
+// A process is paused between acquiring a slot and sending the call. When it
+// resumes, the slot is in use by others: sending would overload the service,
+// and the caller has long had another response.
+func TestExpiredSlotIsNotUsed(t *testing.T) {
+	b := &fakeService{script: func(http.ResponseWriter, int) {}}
 	upstream := httptest.NewServer(b)
 	defer upstream.Close()
-	s := newPasserOver(t, strings.TrimPrefix(upstream.URL, "http://"), places{lapsed: true})
+	s := newProxyWithAcquirer(t, strings.TrimPrefix(upstream.URL, "http://"), fakeAcquirer{expired: true})
 	got := send(t, s, http.MethodPost, "/services/booking/seats", "x")
 	assert.Equal(t, got.header.Get("Heathervane-Ran"), "no")
-	assert.Equal(t, len(b.seen()), 0)
+	assert.Equal(t, len(b.received()), 0)
 }
 
-func TestBadCalls(t *testing.T) {
+func TestInvalidCalls(t *testing.T) {
 	tests := []struct {
 		name, path, code string
 		status           int
 		headers          []string
 	}{
-		{"no such service", "/services/nothing/x", "service_not_found", 404, nil},
+		{"an unknown service", "/services/nothing/x", "service_not_found", 404, nil},
 		{"no token", "/services/booking/x", "unknown_token", 401, []string{"Authorization", ""}},
-		{"a bad timeout", "/services/booking/x", "bad_timeout", 400, []string{"Request-Timeout", "-1"}},
-		{"another protocol", "/services/booking/x", "unsupported", 400, []string{"Upgrade", "websocket", "Connection", "upgrade"}},
-		{"a long body", "/services/booking/x", "body_too_large", 413, []string{"X-Body", "long"}},
+		{"an invalid timeout", "/services/booking/x", "bad_timeout", 400, []string{"Request-Timeout", "-1"}},
+		{"a protocol upgrade", "/services/booking/x", "unsupported", 400, []string{"Upgrade", "websocket", "Connection", "upgrade"}},
+		{"an oversized body", "/services/booking/x", "body_too_large", 413, []string{"X-Body", "long"}},
 	}
-	s := newPasser(t, "127.0.0.1:1")
+	s := newProxy(t, "127.0.0.1:1")
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			body := "x"
@@ -321,5 +321,5 @@
 	}
 }
 
-// nobody may try a held request.
-func nobody(quarantiner.Fingerprint) bool { return false }
+// neverTrial lets no VM run a trial of a held call.
+func neverTrial(quarantiner.Fingerprint) bool { return false }
--- a/entry/request/passer/send.go
+++ b/entry/request/passer/send.go
@@ -19,81 +19,82 @@
 	"github.com/heathervane/heathervane/entry/request/trimmer"
 )
 
-// mostAnswer is the longest answer of a service, in bytes. Answers are held
-// whole before the caller gets a byte, so that a cut one is a truthful failure
-// and not half a confirmation.
-const mostAnswer = 8 << 20
-
-// An outcome is how a call ended: an answer, or a refusal.
-type outcome struct {
-	answer  *answer
-	refusal *refuser.Refusal
+// maxResponseBytes limits the size of a service's response. A response is
+// buffered in full before any of it is written to the caller, so that an
+// interrupted one is reported as a failure instead of being delivered as half a
+// confirmation.
+const maxResponseBytes = 8 << 20
+
+// A callResult is the result of a call: a response or a refusal.
+type callResult struct {
+	response *serviceResponse
+	refusal  *refuser.Refusal
 }
 
-// An answer is a service's whole answer.
-type answer struct {
+// A serviceResponse is the complete response of a service.
+type serviceResponse struct {
 	status   int
 	header   http.Header
 	body     []byte
 	ran      refuser.Ran
 	upstream string
-	tries    int
+	attempts int
 }
 
-// run gets a place for a call and sends it, again only where nothing can run
-// twice. Before each sending it asks ready, if there is one, whether the call
-// may still be sent.
-func (p *Proxy) run(ctx context.Context, c *call, ready func() *refuser.Refusal) outcome {
-	sent := false
+// run acquires a slot for a call and sends it. It retries only if the call is
+// repeatable or cannot have run. Before each attempt it calls ready, if not
+// nil, to check that the call may still be sent.
+func (p *Proxy) run(ctx context.Context, c *call, ready func() *refuser.Refusal) callResult {
+	mayHaveRun := false
 	for {
 		grant, refusal := p.deps.Acquirer.Acquire(ctx, dispatcher.Call{Pool: c.pool, Ask: c.ask(), Avoid: c.avoid})
 		if refusal != nil {
-			return outcome{refusal: truthful(refusal, sent)}
+			return callResult{refusal: withRanUnknownIf(refusal, mayHaveRun)}
 		}
 		if after, held := p.deps.Quarantine.Held(c.fingerprint); held {
 			grant.Done(dispatcher.Cancelled)
-			return outcome{refusal: truthful(quarantined(after), sent)}
+			return callResult{refusal: withRanUnknownIf(quarantineRefusal(after), mayHaveRun)}
 		}
 		if ready != nil {
 			if refusal := ready(); refusal != nil {
 				grant.Done(dispatcher.Cancelled)
-				return outcome{refusal: refusal}
+				return callResult{refusal: refusal}
 			}
 		}
-		c.tries++
+		c.attempts++
 		a, f := p.send(ctx, c, grant)
 		if f == nil {
 			p.deps.Retrier.Completed(1)
 			if a.status < http.StatusInternalServerError {
 				p.deps.Quarantine.Served(c.fingerprint)
 			}
-			return outcome{answer: a}
+			return callResult{response: a}
 		}
-		if ctx.Err() == nil && f.broken() {
+		if ctx.Err() == nil && f.connectionLost() {
 			part := grant.Parts[0]
 			p.deps.Quarantine.Lost(c.fingerprint, part.Upstream.Name, int64(part.Boot))
 		}
-		sent = sent || f.sent
-		if !p.repeat(ctx, c, grant, f) {
-			return outcome{refusal: truthful(f.refusal(ctx), sent)}
+		mayHaveRun = mayHaveRun || f.mayHaveRun
+		if !p.retry(ctx, c, grant, f) {
+			return callResult{refusal: withRanUnknownIf(f.refusal(ctx), mayHaveRun)}
 		}
 	}
 }
 
-func truthful(r *refuser.Refusal, sent bool) *refuser.Refusal {
-	if sent {
+func withRanUnknownIf(r *refuser.Refusal, mayHaveRun bool) *refuser.Refusal {
+	if mayHaveRun {
 		return r.WithRan(refuser.RanUnknown)
 	}
 	return r
 }
 
-func (p *Proxy) repeat(ctx context.Context, c *call, g *dispatcher.Grant, f *failure) bool {
+func (p *Proxy) retry(ctx context.Context, c *call, g *dispatcher.Grant, f *failure) bool {
 	c.avoid = append(c.avoid, g.Names()...)
 	if len(c.avoid) >= len(c.pool.Upstreams) {
 		c.avoid = nil
 	}
 	decision := p.deps.Retrier.Decide(p.deps.Now(), retrier.Attempt{
-		Repeatable: c.repeatable, MayHaveRun: f.sent, Attempts: c.tries, Deadline: c.deadline,
+		Repeatable: c.repeatable, MayHaveRun: f.mayHaveRun, Attempts: c.attempts, Deadline: c.deadline,
 	})
 	if !decision.Retry {
 		return false
@@ -109,24 +110,25 @@
 	}
 }
 
-// A failure is a sending that brought no answer.
+// A failure is an attempt without a complete response.
 type failure struct {
 	err error
-	// sent says that a byte of the call may have left.
-	sent bool
-	// status is what the service refused with as not run, 0 where it did not
-	// answer.
-	status int
-	after  time.Duration
+	// mayHaveRun reports whether a byte of the call may have been sent.
+	mayHaveRun bool
+	// status is the HTTP status with which the service reported the call as not
+	// run; 0 if it did not.
+	status     int
+	retryAfter time.Duration
 }
 
-// broken says that the service may have died under the call.
-func (f *failure) broken() bool {
-	if !f.sent {
+// connectionLost reports whether the service may have crashed while it ran the
+// call.
+func (f *failure) connectionLost() bool {
+	if !f.mayHaveRun {
 		return false
 	}
-	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
-		if errors.Is(f.err, end) {
+	for _, target := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
+		if errors.Is(f.err, target) {
 			return true
 		}
 	}
@@ -135,27 +137,27 @@
 
 func (f *failure) refusal(ctx context.Context) *refuser.Refusal {
 	ran := refuser.RanNo
-	if f.sent {
+	if f.mayHaveRun {
 		ran = refuser.RanUnknown
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return refuser.New(http.StatusGatewayTimeout, "timeout", "the time limit is over").WithRan(ran)
 	}
-	if !f.sent {
-		return refuser.New(http.StatusServiceUnavailable, "upstream_refused", "the service did not take the call").WithRetryAfter(max(f.after, time.Second))
+	if !f.mayHaveRun {
+		return refuser.New(http.StatusServiceUnavailable, "upstream_refused", "the service did not take the call").WithRetryAfter(max(f.retryAfter, time.Second))
 	}
 	return refuser.New(http.StatusBadGateway, "upstream_failed", "the service took the call and its answer was lost").WithRan(ran)
 }
 
-// send sends a call once.
-func (p *Proxy) send(ctx context.Context, c *call, g *dispatcher.Grant) (*answer, *failure) {
+// send makes one attempt at a call.
+func (p *Proxy) send(ctx context.Context, c *call, g *dispatcher.Grant) (*serviceResponse, *failure) {
 	part := g.Parts[0]
 	if !part.Slot.Live() {
 		g.Done(dispatcher.Cancelled)
 		return nil, &failure{}
 	}
-	// From the moment a connection is there, a byte may have left, whatever
-	// error follows: a write that fails here may have arrived there.
+	// Once there is a connection, bytes may have been sent, whatever the error
+	// is: even a write that failed may have reached the service.
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	q, err := c.request(httptrace.WithClientTrace(ctx, trace), part.Upstream.Address)
@@ -163,9 +165,9 @@
 		g.Done(dispatcher.Cancelled)
 		return nil, &failure{err: err}
 	}
-	client := p.once
+	client := p.singleUseClient
 	if c.repeatable {
-		client = p.again
+		client = p.pooledClient
 	}
 	response, err := client.Do(q)
 	if err != nil {
@@ -173,7 +175,7 @@
 		if ctx.Err() == nil {
 			p.deps.Observer.ReportCold(part.Upstream.Name, 0, "reset")
 		}
-		return nil, &failure{err: err, sent: connected.Load()}
+		return nil, &failure{err: err, mayHaveRun: connected.Load()}
 	}
 	defer response.Body.Close()
 	return p.receive(c, g, response)
@@ -186,14 +188,14 @@
 	}
 	q.Header = c.header.Clone()
 	q.Header.Set(teamHeader, c.team.Name)
-	q.Header.Set(callHeader, c.id)
+	q.Header.Set(callIDHeader, c.id)
 	if !c.repeatable {
 		q.GetBody = nil
 	}
 	return q, nil
 }
 
-func (p *Proxy) receive(c *call, g *dispatcher.Grant, response *http.Response) (*answer, *failure) {
+func (p *Proxy) receive(c *call, g *dispatcher.Grant, response *http.Response) (*serviceResponse, *failure) {
 	part := g.Parts[0]
 	if response.Header.Get(ranHeader) == string(refuser.RanNo) {
 		g.Done(dispatcher.Refused)
@@ -204,22 +206,23 @@
 		if err != nil {
 			seconds = 1
 		}
-		return nil, &failure{status: response.StatusCode, after: time.Duration(seconds) * time.Second}
+		return nil, &failure{status: response.StatusCode, retryAfter: time.Duration(seconds) * time.Second}
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer+1))
-	if err != nil || len(body) > mostAnswer {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	if err != nil || len(body) > maxResponseBytes {
 		g.Done(dispatcher.Cut)
-		return nil, &failure{err: err, sent: true}
+		return nil, &failure{err: err, mayHaveRun: true}
 	}
 	g.Done(dispatcher.Completed)
-	a := &answer{status: response.StatusCode, header: trimmer.EndToEndHeaders(response.Header), body: body, upstream: part.Upstream.Name, tries: c.tries}
-	a.ran = ran(response.StatusCode)
+	a := &serviceResponse{status: response.StatusCode, header: trimmer.EndToEndHeaders(response.Header), body: body, upstream: part.Upstream.Name, attempts: c.attempts}
+	a.ran = ranByStatus(response.StatusCode)
 	return a, nil
 }
 
-// ran tells whether an answered call ran. A gateway's words for "I do not know"
-// may stand in front of the service, and are passed on as that.
-func ran(status int) refuser.Ran {
+// ranByStatus derives from the HTTP status of a response whether the call ran.
+// A 502, 503 or 504 may come from a gateway in front of the service, which does
+// not know.
+func ranByStatus(status int) refuser.Ran {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return refuser.RanUnknown
@@ -227,12 +230,12 @@
 	return refuser.RanYes
 }
 
-func (p *Proxy) answer(w http.ResponseWriter, o outcome) {
-	if o.refusal != nil {
-		p.refuse(w, o.refusal)
+func (p *Proxy) writeResult(w http.ResponseWriter, result callResult) {
+	if result.refusal != nil {
+		p.refuse(w, result.refusal)
 		return
 	}
-	a := o.answer
+	a := result.response
 	p.deps.Meter.Count("service.completed", 1)
 	h := w.Header()
 	for name, values := range a.header {
@@ -241,13 +244,13 @@
 		}
 	}
 	if len(a.body) > 0 || h.Get("Content-Length") == "" {
-		// An answer to HEAD keeps the length of the body that it stands for.
+		// A response to HEAD keeps the length of the body that it omits.
 		h.Set("Content-Length", strconv.Itoa(len(a.body)))
 	}
 	h.Set(refuser.RanHeader, string(a.ran))
 	h.Set(refuser.UpstreamHeader, a.upstream)
-	if a.tries > 1 {
-		h.Set(refuser.TriesHeader, strconv.Itoa(a.tries))
+	if a.attempts > 1 {
+		h.Set(refuser.TriesHeader, strconv.Itoa(a.attempts))
 	}
 	w.WriteHeader(a.status)
 	w.Write(a.body)
