--- a/entry/request/chatter/answer.go
+++ b/entry/request/chatter/answer.go
@@ -10,28 +10,29 @@
 	"github.com/heathervane/heathervane/entry/request/refuser"
 )
 
-// An answerer writes an answer in one of the format's two forms.
-type answerer interface {
-	// streams tells whether tokens go out as they come.
-	streams() bool
-	token(w http.ResponseWriter, t streamer.Token) error
-	end(w http.ResponseWriter, e streamer.Summary) error
+// An encoder writes a response in one of the two forms of the OpenAI format: as
+// a stream of chunks or as a single object.
+type encoder interface {
+	// streaming reports whether tokens are written as they arrive.
+	streaming() bool
+	writeToken(w http.ResponseWriter, t streamer.Token) error
+	writeEnd(w http.ResponseWriter, e streamer.Summary) error
 }
 
-func newAnswerer(j *job, now time.Time) answerer {
-	f := frame{id: "chatcmpl-" + j.id, model: j.model, created: now.Unix(), tokens: j.tokens}
+func newEncoder(j *job, now time.Time) encoder {
+	f := responseMeta{id: "chatcmpl-" + j.id, model: j.model, created: now.Unix(), promptTokens: j.promptTokens}
 	if j.chat.Stream {
-		return &chunker{frame: f, usage: j.chat.IncludeUsage}
+		return &streamEncoder{responseMeta: f, usage: j.chat.IncludeUsage}
 	}
-	return &gatherer{frame: f}
+	return &bufferedEncoder{responseMeta: f}
 }
 
-// A frame is what all chunks of one answer share.
-type frame struct {
-	id      string
-	model   string
-	created int64
-	tokens  int
+// responseMeta holds the fields that all chunks of a response share.
+type responseMeta struct {
+	id           string
+	model        string
+	created      int64
+	promptTokens int
 }
 
 type usage struct {
@@ -40,12 +41,13 @@
 	Total      uint64 `json:"total_tokens"`
 }
 
-func (f frame) usage(e streamer.Summary) usage {
-	return usage{Prompt: f.tokens, Completion: e.Tokens, Total: uint64(f.tokens) + e.Tokens}
+func (f responseMeta) usage(e streamer.Summary) usage {
+	return usage{Prompt: f.promptTokens, Completion: e.Tokens, Total: uint64(f.promptTokens) + e.Tokens}
 }
 
-// open appends what each chunk or answer begins with.
-func (f frame) open(b []byte, object string) []byte {
+// appendPrefix appends the start of a chunk or of a single response, up to its
+// choices.
+func (f responseMeta) appendPrefix(b []byte, object string) []byte {
 	b = append(b, `{"id":"`...)
 	b = append(b, f.id...)
 	b = append(b, `","object":"`...)
@@ -57,32 +59,32 @@
 	return append(b, `,"choices":`...)
 }
 
-// A chunker writes each token as a chunk of its own.
-type chunker struct {
-	frame
+// A streamEncoder writes each token as a separate chunk.
+type streamEncoder struct {
+	responseMeta
 	usage   bool
 	started bool
 	prefix  []byte
 	buffer  []byte
 }
 
-func (c *chunker) streams() bool { return true }
+func (c *streamEncoder) streaming() bool { return true }
 
-func (c *chunker) start(w http.ResponseWriter) error {
+func (c *streamEncoder) start(w http.ResponseWriter) error {
 	c.started = true
 	h := w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
 	h.Set(refuser.RanHeader, string(refuser.RanYes))
 	w.WriteHeader(http.StatusOK)
-	c.prefix = c.open([]byte("data: "), "chat.completion.chunk")
+	c.prefix = c.appendPrefix([]byte("data: "), "chat.completion.chunk")
 	c.buffer = append(c.buffer[:0], c.prefix...)
 	c.buffer = append(c.buffer, `[{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}]}`+"\n\n"...)
 	_, err := w.Write(c.buffer)
 	return err
 }
 
-func (c *chunker) token(w http.ResponseWriter, t streamer.Token) error {
+func (c *streamEncoder) writeToken(w http.ResponseWriter, t streamer.Token) error {
 	if !c.started {
 		if err := c.start(w); err != nil {
 			return err
@@ -96,7 +98,7 @@
 	return err
 }
 
-func (c *chunker) end(w http.ResponseWriter, e streamer.Summary) error {
+func (c *streamEncoder) writeEnd(w http.ResponseWriter, e streamer.Summary) error {
 	if !c.started {
 		if err := c.start(w); err != nil {
 			return err
@@ -104,9 +106,9 @@
 	}
 	b := c.buffer[:0]
 	b = append(b, c.prefix...)
-	b = append(b, `[{"index":0,"delta":{},"finish_reason":"`+reason(e)+`"}]}`+"\n\n"...)
+	b = append(b, `[{"index":0,"delta":{},"finish_reason":"`+finishReason(e)+`"}]}`+"\n\n"...)
 	if c.usage {
-		counted, err := json.Marshal(c.frame.usage(e))
+		counted, err := json.Marshal(c.responseMeta.usage(e))
 		if err != nil {
 			return err
 		}
@@ -120,36 +122,38 @@
 	return err
 }
 
-func reason(e streamer.Summary) string {
+func finishReason(e streamer.Summary) string {
 	if e.Reason == "length" {
 		return "length"
 	}
 	return "stop"
 }
 
-// A gatherer keeps the tokens and writes the answer in one piece.
-type gatherer struct {
-	frame
+// A bufferedEncoder collects the tokens and writes the response as a single
+// object.
+type bufferedEncoder struct {
+	responseMeta
 	text []byte
 }
 
-func (g *gatherer) streams() bool { return false }
+func (g *bufferedEncoder) streaming() bool { return false }
 
-// token joins JSON strings by taking off the quotes between them.
-func (g *gatherer) token(_ http.ResponseWriter, t streamer.Token) error {
+// writeToken joins tokens, which are JSON strings, by removing the quotes
+// between them.
+func (g *bufferedEncoder) writeToken(_ http.ResponseWriter, t streamer.Token) error {
 	g.text = append(g.text, t.Text[1:len(t.Text)-1]...)
 	return nil
 }
 
-func (g *gatherer) end(w http.ResponseWriter, e streamer.Summary) error {
+func (g *bufferedEncoder) writeEnd(w http.ResponseWriter, e streamer.Summary) error {
 	counted, err := json.Marshal(g.usage(e))
 	if err != nil {
 		return err
 	}
-	b := g.open(nil, "chat.completion")
+	b := g.appendPrefix(nil, "chat.completion")
 	b = append(b, `[{"index":0,"message":{"role":"assistant","content":"`...)
 	b = append(b, g.text...)
-	b = append(b, `"},"finish_reason":"`+reason(e)+`"}],"usage":`...)
+	b = append(b, `"},"finish_reason":"`+finishReason(e)+`"}],"usage":`...)
 	b = append(b, counted...)
 	b = append(b, "}\n"...)
 	h := w.Header()
--- a/entry/request/chatter/chatter.go
+++ b/entry/request/chatter/chatter.go
@@ -1,7 +1,7 @@
-// Package chatter answers requests for chat completions in the OpenAI format:
-// it reads and checks a request, gets a place for it, has an engine run it, and
-// passes the answer on as it comes. Every request ends with a whole answer or a
-// truthful failure by its time limit.
+// Package chatter serves chat completion requests in the OpenAI format. It
+// validates a request, acquires a slot for it, sends it to an engine and relays
+// the response. Every request ends within its time limit, with a complete
+// response or an accurate failure.
 package chatter
 
 import (
@@ -25,49 +25,52 @@
 	"github.com/heathervane/heathervane/entry/version/viewer"
 )
 
-// headSize is how much of a prompt's start names its prefix, in bytes.
-const headSize = 4096
+// prefixBytes is the number of bytes at the start of a prompt whose hash
+// identifies its prefix.
+const prefixBytes = 4096
 
-// An Acquirer gives places at upstreams.
+// An Acquirer acquires slots at upstreams.
 type Acquirer interface {
 	Acquire(ctx context.Context, c dispatcher.Call) (*dispatcher.Grant, *refuser.Refusal)
-	// Begun hears that the first token has come.
+	// Begun is called when the first token of a grant's request has arrived.
 	Begun(c dispatcher.Call, g *dispatcher.Grant)
 }
 
-// A Canceller cancels streams at engines until the engine confirms, and calls
-// done then.
+// A Canceller cancels streams at engines. It retries until the engine confirms
+// the cancellation, and then calls done.
 type Canceller interface {
 	Cancel(address, id string, done func())
 }
 
-// A Observer hears what requests meet at upstreams.
+// An Observer is notified of what happens to requests at upstreams.
 type Observer interface {
-	// ReportCold hears evidence that an upstream has turned cold.
+	// ReportCold is called on evidence that an upstream is in cold start.
 	ReportCold(upstream string, boot uint64, cause string)
-	// RequestSent hears that work was sent: until the first token the upstream has so
-	// many prompt tokens to read, and promised that many a second.
+	// RequestSent is called when a request is sent. Until the first token the
+	// upstream has to read the given number of prompt tokens, and rate is the
+	// number per second that it promised.
 	RequestSent(upstream, id string, tokens int, rate float64)
-	// FirstToken hears that the first token came.
+	// FirstToken is called when the first token of a request arrives.
 	FirstToken(id string)
-	// RequestEnded hears that work is over, with or without a first token.
+	// RequestEnded is called when a request is over, with or without a first
+	// token.
 	RequestEnded(id string)
 }
 
-// A Retrier decides whether work is sent again.
+// A Retrier decides whether a failed request is retried.
 type Retrier interface {
 	Decide(now time.Time, a retrier.Attempt) retrier.Decision
 	Completed(n int)
 }
 
-// A Meter counts.
+// A Meter records metrics.
 type Meter interface {
 	Count(name string, n int64)
 	Time(name string, d time.Duration)
 }
 
-// A Quarantine keeps requests from upstreams that crash whoever runs them, at all
-// VMs.
+// A Quarantine holds back requests that crash the upstreams that run them, on
+// all VMs.
 type Quarantine interface {
 	Arrived(f fingerprinter.Fingerprint) (after time.Duration, held bool)
 	Held(f fingerprinter.Fingerprint) (after time.Duration, held bool)
@@ -75,105 +78,103 @@
 	Served(f fingerprinter.Fingerprint)
 }
 
-// Config is who this VM is.
+// Config identifies this process: its VM and its boot number.
 type Config struct {
 	VM   string
 	Boot uint64
 }
 
-// A Handler answers requests for chat completions.
+// A Handler serves chat completion requests.
 type Handler struct {
-	config    Config
-	views     func() *viewer.View
-	reader    *reader.Reader
-	acquirer  Acquirer
-	streamer  *streamer.Streamer
-	canceller Canceller
-	watcher   Observer
-	retrier   Retrier
-	// quarantine knows the requests that crash upstreams.
+	config     Config
+	view       func() *viewer.View
+	reader     *reader.Reader
+	acquirer   Acquirer
+	streamer   *streamer.Streamer
+	canceller  Canceller
+	observer   Observer
+	retrier    Retrier
 	quarantine Quarantine
 	meter      Meter
 	now        func() time.Time
 	sequence   atomic.Uint64
-	running    *registry
+	inProgress *idSet
 }
 
-// Deps are what a Chatter works with.
+// Deps are the dependencies of a Handler.
 type Deps struct {
-	View      func() *viewer.View
-	Reader    *reader.Reader
-	Acquirer  Acquirer
-	Streamer  *streamer.Streamer
-	Canceller Canceller
-	Observer  Observer
-	Retrier   Retrier
-	// Quarantine knows the requests that crash upstreams.
+	View       func() *viewer.View
+	Reader     *reader.Reader
+	Acquirer   Acquirer
+	Streamer   *streamer.Streamer
+	Canceller  Canceller
+	Observer   Observer
+	Retrier    Retrier
 	Quarantine Quarantine
 	Meter      Meter
 	Now        func() time.Time
 }
 
-// New returns a Chatter.
+// New returns a Handler.
 func New(c Config, d Deps) *Handler {
 	return &Handler{
-		config: c, views: d.View, reader: d.Reader, acquirer: d.Acquirer, streamer: d.Streamer,
-		canceller: d.Canceller, watcher: d.Observer, retrier: d.Retrier, quarantine: d.Quarantine, meter: d.Meter, now: d.Now,
-		running: newRegistry(),
+		config: c, view: d.View, reader: d.Reader, acquirer: d.Acquirer, streamer: d.Streamer,
+		canceller: d.Canceller, observer: d.Observer, retrier: d.Retrier, quarantine: d.Quarantine, meter: d.Meter, now: d.Now,
+		inProgress: newIDSet(),
 	}
 }
 
-// InProgress tells whether a stream or part at an engine belongs to a request in
-// progress here.
-func (c *Handler) InProgress(id string) bool { return c.running.has(id) }
+// InProgress reports whether a stream or prompt part at an engine belongs to a
+// request that this process is serving.
+func (h *Handler) InProgress(id string) bool { return h.inProgress.contains(id) }
 
-// A job is one request on its way.
+// A job is the state of one request in progress.
 type job struct {
-	id       string
-	arrived  time.Time
-	deadline time.Time
-	view     *viewer.View
-	team     viewer.Team
-	chat     *parser.ChatRequest
-	pool     *viewer.Pool
-	model    string
-	tokens   int
-	output   int
-	bytes    int
-	priority int
-	body     *reader.Body
-	tries    int
-	avoid    []string
-	// fingerprint names what is asked for.
+	id            string
+	arrived       time.Time
+	deadline      time.Time
+	view          *viewer.View
+	team          viewer.Team
+	chat          *parser.ChatRequest
+	pool          *viewer.Pool
+	model         string
+	promptTokens  int
+	maxTokens     int
+	bytesPerToken int
+	priority      int
+	body          *reader.Body
+	attempts      int
+	avoid         []string
+	// fingerprint identifies the request in the quarantine.
 	fingerprint fingerprinter.Fingerprint
-	// ran is what can truthfully be said of the work so far.
+	// ran is what is known so far about whether the request ran.
 	ran refuser.Ran
 }
 
-// ServeHTTP answers one request.
-func (c *Handler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	arrived := c.now()
-	w.Header().Set(refuser.VMHeader, c.config.VM)
-	c.meter.Count("chat.requests", 1)
-	j, refusal := c.accept(w, q, arrived)
+// ServeHTTP serves one chat completion request.
+func (h *Handler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+	arrived := h.now()
+	w.Header().Set(refuser.VMHeader, h.config.VM)
+	h.meter.Count("chat.requests", 1)
+	j, refusal := h.accept(w, q, arrived)
 	if refusal != nil {
-		c.refuse(w, refusal)
+		h.refuse(w, refusal)
 		return
 	}
 	defer j.body.Release()
 	ctx, cancel := context.WithDeadline(q.Context(), j.deadline)
 	defer cancel()
-	c.run(ctx, w, j)
+	h.run(ctx, w, j)
 }
 
-func (c *Handler) refuse(w http.ResponseWriter, r *refuser.Refusal) {
-	c.meter.Count("chat.refused."+r.Code, 1)
+func (h *Handler) refuse(w http.ResponseWriter, r *refuser.Refusal) {
+	h.meter.Count("chat.refused."+r.Code, 1)
 	r.Write(w)
 }
 
-// accept reads and checks a request.
-func (c *Handler) accept(w http.ResponseWriter, q *http.Request, arrived time.Time) (*job, *refuser.Refusal) {
-	v := c.views()
+// accept authenticates, reads and validates a request.
+func (h *Handler) accept(w http.ResponseWriter, q *http.Request, arrived time.Time) (*job, *refuser.Refusal) {
+	v := h.view()
 	if v == nil {
 		return nil, authenticator.NotReady()
 	}
@@ -181,42 +182,43 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	body, refusal := c.reader.Read(w, q)
+	body, refusal := h.reader.Read(w, q)
 	if refusal != nil {
 		return nil, refusal
 	}
 	fingerprint := fingerprinter.Of(&fingerprinter.Request{Team: team.Name, Method: q.Method, Target: q.URL.Path, Body: body.Data})
-	if after, held := c.quarantine.Arrived(fingerprint); held {
+	if after, held := h.quarantine.Arrived(fingerprint); held {
 		body.Release()
-		return nil, quarantined(after)
+		return nil, quarantineRefusal(after)
 	}
 	chat, refusal := parser.Parse(body.Data)
 	if refusal != nil {
 		body.Release()
 		return nil, refusal
 	}
-	// The prompt has been taken out of it: the memory of the body as read can
-	// go while the request waits.
+	// The prompt has been extracted from the body, whose memory can be freed
+	// while the request waits.
 	body.Data = nil
-	j := &job{id: c.id(), arrived: arrived, view: v, team: team, chat: chat, body: body, ran: refuser.RanNo, fingerprint: fingerprint}
-	if refusal := j.measure(v, q); refusal != nil {
+	j := &job{id: h.nextID(), arrived: arrived, view: v, team: team, chat: chat, body: body, ran: refuser.RanNo, fingerprint: fingerprint}
+	if refusal := j.resolve(v, q); refusal != nil {
 		body.Release()
 		return nil, refusal
 	}
 	return j, nil
 }
 
-func quarantined(after time.Duration) *refuser.Refusal {
+func quarantineRefusal(after time.Duration) *refuser.Refusal {
 	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the request has crashed the upstreams that ran it").WithRetryAfter(after)
 }
 
-func (c *Handler) id() string {
-	n := c.sequence.Add(1)
-	return c.config.VM + "-" + strconv.FormatUint(c.config.Boot, 36) + "-" + strconv.FormatUint(n, 36)
+func (h *Handler) nextID() string {
+	n := h.sequence.Add(1)
+	return h.config.VM + "-" + strconv.FormatUint(h.config.Boot, 36) + "-" + strconv.FormatUint(n, 36)
 }
 
-// measure finds a request's model, length, class and time limit.
-func (j *job) measure(v *viewer.View, q *http.Request) *refuser.Refusal {
+// resolve determines the model, token counts, class and time limit of a
+// request.
+func (j *job) resolve(v *viewer.View, q *http.Request) *refuser.Refusal {
 	pool, ok := v.Model(j.chat.Model)
 	if !ok {
 		r := refuser.BadRequest("model", "model_not_found", "there is no model %.60q", j.chat.Model)
@@ -224,19 +226,19 @@
 		return r
 	}
 	m := v.Manifest.Models[j.chat.Model]
-	j.pool, j.model, j.bytes = pool, j.chat.Model, m.Bytes
-	j.tokens = max(1, (len(j.chat.Prompt)+m.Bytes-1)/m.Bytes)
-	j.output = m.Output
+	j.pool, j.model, j.bytesPerToken = pool, j.chat.Model, m.Bytes
+	j.promptTokens = max(1, (len(j.chat.Prompt)+m.Bytes-1)/m.Bytes)
+	j.maxTokens = m.Output
 	if j.chat.MaxTokens > 0 {
-		j.output = min(j.chat.MaxTokens, m.Output)
+		j.maxTokens = min(j.chat.MaxTokens, m.Output)
 	}
-	if j.tokens+j.output > m.Context {
+	if j.promptTokens+j.maxTokens > m.Context {
 		return refuser.BadRequest("messages", "context_length_exceeded",
-			"the prompt's %d tokens and %d of answer are over the model's %d", j.tokens, j.output, m.Context)
+			"the prompt's %d tokens and %d of answer are over the model's %d", j.promptTokens, j.maxTokens, m.Context)
 	}
-	class, ok := v.Class(j.tokens)
+	class, ok := v.Class(j.promptTokens)
 	if !ok {
-		return refuser.BadRequest("messages", "context_length_exceeded", "no class of work takes a prompt of %d tokens", j.tokens)
+		return refuser.BadRequest("messages", "context_length_exceeded", "no class of work takes a prompt of %d tokens", j.promptTokens)
 	}
 	limit, refusal := authenticator.Timeout(q, class.Limit, class.Least, class.Most)
 	if refusal != nil {
@@ -248,9 +250,9 @@
 }
 
 func (j *job) ask() admitter.Ask {
-	head := j.chat.Prompt[:min(headSize, len(j.chat.Prompt))]
+	head := j.chat.Prompt[:min(prefixBytes, len(j.chat.Prompt))]
 	return admitter.Ask{
-		Team: j.team.Name, Share: j.team.Share, Tokens: j.tokens, Output: j.output,
+		Team: j.team.Name, Share: j.team.Share, Tokens: j.promptTokens, Output: j.maxTokens,
 		Arrived: j.arrived, Deadline: j.deadline, Head: xxhash.Sum64String(head),
 	}
 }
--- a/entry/request/chatter/fake_test.go
+++ b/entry/request/chatter/fake_test.go
@@ -33,24 +33,24 @@
 )
 
 const (
-	bearer  = "steward"
-	budget  = 1 << 20
-	longest = 64 << 10
+	bearer       = "steward"
+	memoryBudget = 1 << 20
+	maxBodyBytes = 64 << 10
 )
 
-func hash(token string) string {
+func hashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
-func manifest(addresses ...string) checker.Manifest {
+func newManifest(addresses ...string) checker.Manifest {
 	m := checker.Manifest{
 		Classes: map[string]checker.Class{"short": {
 			Prompt: 1000, Limit: checker.Duration(5 * time.Second),
 			Least: checker.Duration(50 * time.Millisecond), Most: checker.Duration(10 * time.Second),
 		}},
 		Models:    map[string]checker.Model{"m": {Context: 2000, Output: 50, Bytes: 4}},
-		Teams:     map[string]checker.Team{"hanbit": {Share: 1, Tokens: []string{hash(bearer)}}},
+		Teams:     map[string]checker.Team{"hanbit": {Share: 1, Tokens: []string{hashToken(bearer)}}},
 		Upstreams: map[string]checker.Upstream{},
 	}
 	for i, a := range addresses {
@@ -59,48 +59,48 @@
 	return m
 }
 
-// No request may leave a goroutine behind, however it ends.
+// Checks that no request leaks a goroutine, however it ends.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// An engine answers with a script and notes what it was asked.
-type engine struct {
+// fakeEngine responds by a script and counts its requests.
+type fakeEngine struct {
 	*httptest.Server
-	mu      sync.Mutex
-	begun   int
-	deleted map[string]int
-	script  func(w http.ResponseWriter, n int)
+	mu       sync.Mutex
+	requests int
+	deleted  map[string]int
+	script   func(w http.ResponseWriter, n int)
 }
 
-func newEngine(t *testing.T, script func(w http.ResponseWriter, n int)) *engine {
+func newEngine(t *testing.T, script func(w http.ResponseWriter, n int)) *fakeEngine {
 	t.Helper()
-	e := &engine{deleted: map[string]int{}, script: script}
+	e := &fakeEngine{deleted: map[string]int{}, script: script}
 	e.Server = httptest.NewServer(e)
 	t.Cleanup(e.Close)
 	return e
 }
 
-func (e *engine) address() string { return strings.TrimPrefix(e.URL, "http://") }
+func (e *fakeEngine) address() string { return strings.TrimPrefix(e.URL, "http://") }
 
-// count is how often it was asked.
-func (e *engine) count() int {
+// requestCount returns the number of requests received.
+func (e *fakeEngine) requestCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.begun
+	return e.requests
 }
 
-func (e *engine) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (e *fakeEngine) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	if _, err := io.Copy(io.Discard, q.Body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	e.mu.Lock()
-	n := e.begun
-	e.begun++
+	n := e.requests
+	e.requests++
 	e.mu.Unlock()
 	w.Header().Set("Upstream-Boot", "7")
 	e.script(w, n)
 }
 
-func say(words ...string) func(http.ResponseWriter, int) {
+func sendTokens(words ...string) func(http.ResponseWriter, int) {
 	return func(w http.ResponseWriter, _ int) {
 		for i, word := range words {
 			text, err := json.Marshal(word)
@@ -113,36 +113,37 @@
 	}
 }
 
-// places gives a place at the first upstream that is not avoided.
-type places struct {
-	mu    sync.Mutex
-	given []string
-	done  []dispatcher.Outcome
-	// lapsed makes the places be lapsed by the time of the sending.
-	lapsed bool
-	// group grants all upstreams at once, as for a prompt that no single one
-	// holds; of its places only the first few stay live where live is not 0.
-	group bool
-	live  int
+// fakeAcquirer grants a slot at the first upstream that is not to be avoided.
+type fakeAcquirer struct {
+	mu       sync.Mutex
+	granted  []string
+	outcomes []dispatcher.Outcome
+	// expired makes every slot expire before it is used.
+	expired bool
+	// group grants all upstreams at once, as for a prompt that does not fit on
+	// a single one. If liveSlots is not 0, only that many of the slots stay
+	// live.
+	group     bool
+	liveSlots int
 }
 
-type place struct {
-	places *places
-	part   int
+type fakeSlot struct {
+	acquirer *fakeAcquirer
+	part     int
 }
 
-func (place) Boot() uint64 { return 7 }
-func (p place) Live() bool {
-	return !p.places.lapsed && (p.places.live == 0 || p.part < p.places.live)
+func (fakeSlot) Boot() uint64 { return 7 }
+func (p fakeSlot) Live() bool {
+	return !p.acquirer.expired && (p.acquirer.liveSlots == 0 || p.part < p.acquirer.liveSlots)
 }
 
-func (p place) Done(o dispatcher.Outcome) {
-	p.places.mu.Lock()
-	defer p.places.mu.Unlock()
-	p.places.done = append(p.places.done, o)
+func (p fakeSlot) Done(o dispatcher.Outcome) {
+	p.acquirer.mu.Lock()
+	defer p.acquirer.mu.Unlock()
+	p.acquirer.outcomes = append(p.acquirer.outcomes, o)
 }
 
-func (p *places) Acquire(ctx context.Context, c dispatcher.Call) (*dispatcher.Grant, *refuser.Refusal) {
+func (p *fakeAcquirer) Acquire(ctx context.Context, c dispatcher.Call) (*dispatcher.Grant, *refuser.Refusal) {
 	if ctx.Err() != nil {
 		return nil, refuser.New(http.StatusGatewayTimeout, "late", "too late")
 	}
@@ -154,68 +155,68 @@
 			continue
 		}
 		p.mu.Lock()
-		p.given = append(p.given, u.Name)
+		p.granted = append(p.granted, u.Name)
 		p.mu.Unlock()
-		return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: u, Tokens: c.Ask.Tokens, Slot: place{places: p}}}}, nil
+		return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: u, Tokens: c.Ask.Tokens, Slot: fakeSlot{acquirer: p}}}}, nil
 	}
 	return nil, refuser.New(http.StatusTooManyRequests, "saturated", "full").WithRetryAfter(time.Second)
 }
 
-func (p *places) Begun(dispatcher.Call, *dispatcher.Grant) {}
+func (p *fakeAcquirer) Begun(dispatcher.Call, *dispatcher.Grant) {}
 
-// grantAll parts a prompt evenly over all upstreams.
-func (p *places) grantAll(c dispatcher.Call) *dispatcher.Grant {
+// grantAll splits a prompt evenly between all upstreams.
+func (p *fakeAcquirer) grantAll(c dispatcher.Call) *dispatcher.Grant {
 	g := &dispatcher.Grant{}
 	for i, u := range c.Pool.Upstreams {
 		g.Parts = append(g.Parts, dispatcher.Part{
-			Upstream: u, Tokens: c.Ask.Tokens / len(c.Pool.Upstreams), Slot: place{places: p, part: i},
+			Upstream: u, Tokens: c.Ask.Tokens / len(c.Pool.Upstreams), Slot: fakeSlot{acquirer: p, part: i},
 		})
 	}
 	return g
 }
 
-// cancels confirms each cancel at once.
-type cancels struct {
+// fakeCanceller confirms each cancellation at once.
+type fakeCanceller struct {
 	mu  sync.Mutex
 	ids []string
 }
 
-func (c *cancels) Cancel(_, id string, done func()) {
+func (c *fakeCanceller) Cancel(_, id string, done func()) {
 	c.mu.Lock()
 	c.ids = append(c.ids, id)
 	c.mu.Unlock()
 	done()
 }
 
-type deaf struct{}
+type nopObserver struct{}
 
-func (deaf) ReportCold(string, uint64, string)        {}
-func (deaf) RequestSent(string, string, int, float64) {}
-func (deaf) FirstToken(string)                        {}
-func (deaf) RequestEnded(string)                      {}
+func (nopObserver) ReportCold(string, uint64, string)        {}
+func (nopObserver) RequestSent(string, string, int, float64) {}
+func (nopObserver) FirstToken(string)                        {}
+func (nopObserver) RequestEnded(string)                      {}
 
-type rig struct {
+type testServer struct {
 	*httptest.Server
-	places  *places
-	cancels *cancels
-	bodies  *bounder.Bounder
+	acquirer  *fakeAcquirer
+	canceller *fakeCanceller
+	bodies    *bounder.Bounder
 }
 
-func newRig(t *testing.T, m checker.Manifest) *rig {
+func newTestServer(t *testing.T, m checker.Manifest) *testServer {
 	t.Helper()
-	r := &rig{places: &places{}, cancels: &cancels{}, bodies: bounder.New(budget)}
+	r := &testServer{acquirer: &fakeAcquirer{}, canceller: &fakeCanceller{}, bodies: bounder.New(memoryBudget)}
 	upstream := &http.Transport{}
 	t.Cleanup(upstream.CloseIdleConnections)
 	view := viewer.New(1, m, func(string, string) bool { return false })
 	c := chatter.New(chatter.Config{VM: "vm1", Boot: 3}, chatter.Deps{
 		View:       func() *viewer.View { return view },
-		Reader:     &reader.Reader{MaxBytes: longest, Budget: r.bodies, Timeout: 200 * time.Millisecond},
-		Acquirer:   r.places,
+		Reader:     &reader.Reader{MaxBytes: maxBodyBytes, Budget: r.bodies, Timeout: 200 * time.Millisecond},
+		Acquirer:   r.acquirer,
 		Streamer:   streamer.New(&http.Client{Transport: upstream}),
-		Canceller:  r.cancels,
-		Observer:   deaf{},
+		Canceller:  r.canceller,
+		Observer:   nopObserver{},
 		Retrier:    retrier.New(retrier.Config{}, rand.New(rand.NewPCG(1, 2))),
-		Quarantine: quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: nobody}),
+		Quarantine: quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: neverTrial}),
 		Meter:      meter.New(),
 		Now:        time.Now,
 	})
@@ -226,19 +227,19 @@
 	return r
 }
 
-// outcomes ends the server and gives how each place was given back.
-func (r *rig) outcomes() []dispatcher.Outcome {
+// outcomes closes the server and returns the outcome of each slot.
+func (r *testServer) outcomes() []dispatcher.Outcome {
 	r.Close()
-	return r.places.done
+	return r.acquirer.outcomes
 }
 
-type reply struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func (r *rig) post(t *testing.T, body string, headers ...string) reply {
+func (r *testServer) post(t *testing.T, body string, headers ...string) response {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodPost, r.URL, strings.NewReader(body))
 	if err != nil {
@@ -257,13 +258,13 @@
 	if err != nil {
 		data = append(data, " cut"...)
 	}
-	return reply{status: a.StatusCode, header: a.Header, body: string(data)}
+	return response{status: a.StatusCode, header: a.Header, body: string(data)}
 }
 
 const (
-	question = `{"model":"m","messages":[{"role":"user","content":"hi"}]}`
-	streamed = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`
+	requestBody   = `{"model":"m","messages":[{"role":"user","content":"hi"}]}`
+	streamingBody = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`
 )
 
-// nobody may try a held request.
-func nobody(quarantiner.Fingerprint) bool { return false }
+// neverTrial lets no VM run a trial of a held request.
+func neverTrial(quarantiner.Fingerprint) bool { return false }
--- a/entry/request/chatter/models.go
+++ b/entry/request/chatter/models.go
@@ -10,7 +10,7 @@
 	"github.com/heathervane/heathervane/entry/request/refuser"
 )
 
-type models struct {
+type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
 }
@@ -22,25 +22,25 @@
 	Owner   string `json:"owned_by"`
 }
 
-// Models lists the models, or shows the one that the path names.
-func (c *Handler) Models(w http.ResponseWriter, q *http.Request) {
-	w.Header().Set(refuser.VMHeader, c.config.VM)
-	v := c.views()
+// Models serves the list of models, or the one model that the path names.
+func (h *Handler) Models(w http.ResponseWriter, q *http.Request) {
+	w.Header().Set(refuser.VMHeader, h.config.VM)
+	v := h.view()
 	if v == nil {
 		authenticator.NotReady().Write(w)
 		return
 	}
 	if _, refusal := authenticator.Team(v, q); refusal != nil {
-		c.refuse(w, refusal)
+		h.refuse(w, refusal)
 		return
 	}
-	list := models{Object: "list", Data: []model{}}
+	list := modelList{Object: "list", Data: []model{}}
 	for _, name := range slices.Sorted(maps.Keys(v.Manifest.Models)) {
 		list.Data = append(list.Data, model{ID: name, Object: "model", Owner: "heathervane"})
 	}
 	name := q.PathValue("model")
 	if name == "" {
-		c.show(w, list)
+		h.writeJSON(w, list)
 		return
 	}
 	i := slices.IndexFunc(list.Data, func(m model) bool { return m.ID == name })
@@ -48,19 +48,19 @@
 		refuser.New(http.StatusNotFound, "model_not_found", "there is no model %.60q", name).Write(w)
 		return
 	}
-	c.show(w, list.Data[i])
+	h.writeJSON(w, list.Data[i])
 }
 
-func (c *Handler) show(w http.ResponseWriter, v any) {
+func (h *Handler) writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(refuser.RanHeader, string(refuser.RanYes))
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		c.meter.Count("models.unsent", 1)
+		h.meter.Count("models.unsent", 1)
 	}
 }
 
-// NotFound answers paths that mean nothing here.
-func (c *Handler) NotFound(w http.ResponseWriter, q *http.Request) {
-	w.Header().Set(refuser.VMHeader, c.config.VM)
+// NotFound serves paths that no other handler serves.
+func (h *Handler) NotFound(w http.ResponseWriter, q *http.Request) {
+	w.Header().Set(refuser.VMHeader, h.config.VM)
 	refuser.New(http.StatusNotFound, "no_such_path", "%s %.80q is served by nothing here", q.Method, q.URL.Path).Write(w)
 }
--- a/entry/request/chatter/relay.go
+++ b/entry/request/chatter/relay.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	// mostResumes bounds the resumes of one stream. A connection that breaks
-	// more often than this carries no stream to its end.
-	mostResumes = 8
-	// resumePause is the first pause before a resume; it doubles.
-	resumePause = 20 * time.Millisecond
-	// writeMargin is how long after the time limit a caller that does not read
-	// may still block a write.
-	writeMargin = time.Second
+	// maxResumes limits how often one stream is resumed. A connection that
+	// breaks more often than this does not get a stream to its end.
+	maxResumes = 8
+	// resumeDelay is the base of the delay between attempts to resume; it
+	// doubles with each attempt.
+	resumeDelay = 20 * time.Millisecond
+	// writeGrace is how long after the time limit a write may still block on a
+	// caller that does not read.
+	writeGrace = time.Second
 )
 
-// relay passes tokens on as they come, until the answer is whole.
+// relay forwards tokens to the caller as they arrive, until the response is
+// complete.
 func (a *attempt) relay(ctx context.Context, w http.ResponseWriter, s *streamer.Stream) error {
 	control := http.NewResponseController(w)
-	// A caller that stops reading would else keep its place at the engine for
-	// ever: its window fills, the write blocks, and nothing ends it.
-	if err := control.SetWriteDeadline(a.job.deadline.Add(writeMargin)); err != nil && !errors.Is(err, http.ErrNotSupported) {
+	// Without a deadline, a caller that stops reading would keep its slot at
+	// the engine forever: its TCP window fills up and the write blocks.
+	if err := control.SetWriteDeadline(a.job.deadline.Add(writeGrace)); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return err
 	}
 	resumes := 0
@@ -35,7 +37,7 @@
 		t, err := s.Next()
 		switch {
 		case err == nil:
-			if err := a.pass(w, control, s, t); err != nil {
+			if err := a.forward(w, control, s, t); err != nil {
 				return err
 			}
 		case errors.Is(err, io.EOF):
@@ -44,7 +46,7 @@
 			return ctx.Err()
 		default:
 			resumes++
-			if resumes > mostResumes {
+			if resumes > maxResumes {
 				return err
 			}
 			if err := a.resume(ctx, s, resumes); err != nil {
@@ -55,42 +57,42 @@
 }
 
 func (a *attempt) resume(ctx context.Context, s *streamer.Stream, n int) error {
-	a.chatter.meter.Count("chat.resumes", 1)
-	last := a.grant.Parts[len(a.grant.Parts)-1].Upstream.Name
+	a.handler.meter.Count("chat.resumes", 1)
+	upstream := a.grant.Parts[len(a.grant.Parts)-1].Upstream.Name
 	for {
 		err := s.Resume(ctx)
 		if err == nil {
 			return nil
 		}
 		if errors.Is(err, streamer.ErrGone) {
-			a.chatter.watcher.ReportCold(last, 0, "lost")
+			a.handler.observer.ReportCold(upstream, 0, "lost")
 			return err
 		}
-		if n++; n > mostResumes || !wait(ctx, resumePause<<n) {
-			a.chatter.watcher.ReportCold(last, 0, "reset")
+		if n++; n > maxResumes || !sleep(ctx, resumeDelay<<n) {
+			a.handler.observer.ReportCold(upstream, 0, "reset")
 			return err
 		}
 	}
 }
 
-func (a *attempt) pass(w http.ResponseWriter, control *http.ResponseController, s *streamer.Stream, t streamer.Token) error {
+func (a *attempt) forward(w http.ResponseWriter, control *http.ResponseController, s *streamer.Stream, t streamer.Token) error {
 	if t.Number == 1 {
-		c := a.chatter
-		a.first = true
-		a.job.forget()
-		c.acquirer.Begun(a.call, a.grant)
-		c.watcher.FirstToken(a.id)
-		c.meter.Time("chat.first", c.now().Sub(a.job.arrived))
+		h := a.handler
+		a.gotFirstToken = true
+		a.job.releasePrompt()
+		h.acquirer.Begun(a.call, a.grant)
+		h.observer.FirstToken(a.id)
+		h.meter.Time("chat.first", h.now().Sub(a.job.arrived))
 	}
-	if err := a.writer.token(w, t); err != nil {
+	if err := a.encoder.writeToken(w, t); err != nil {
 		return err
 	}
-	if !a.writer.streams() {
+	if !a.encoder.streaming() {
 		return nil
 	}
-	a.started = true
-	// Tokens that have come together go on together: a flush for each would
-	// cost a system call for each.
+	a.responseStarted = true
+	// Tokens that arrived together are flushed together, as every flush costs a
+	// system call.
 	if s.Buffered() {
 		return nil
 	}
@@ -106,29 +108,29 @@
 }
 
 func (a *attempt) finish(w http.ResponseWriter, control *http.ResponseController, s *streamer.Stream) error {
-	end := s.Summary()
-	a.chatter.meter.Count("chat.tokens", int64(end.Tokens))
-	a.chatter.meter.Count("chat.completed", 1)
-	if err := a.writer.end(w, *end); err != nil {
+	summary := s.Summary()
+	a.handler.meter.Count("chat.tokens", int64(summary.Tokens))
+	a.handler.meter.Count("chat.completed", 1)
+	if err := a.encoder.writeEnd(w, *summary); err != nil {
 		return err
 	}
 	return flush(control)
 }
 
-// fail ends a request without a whole answer: with a status where the caller
-// has had nothing yet, else with an error event and without the [DONE] that
-// would call the answer whole.
+// fail ends a request without a complete response. If nothing has been written
+// to the caller yet, it sends an error status; otherwise it sends an error
+// event, without the [DONE] that would mark the response as complete.
 func (a *attempt) fail(w http.ResponseWriter, r *refuser.Refusal) {
-	a.chatter.meter.Count("chat.refused."+r.Code, 1)
-	if !a.started {
+	a.handler.meter.Count("chat.refused."+r.Code, 1)
+	if !a.responseStarted {
 		r.Write(w)
 		return
 	}
-	// A caller that has left hears nothing, and that is no error.
+	// Write errors are ignored: it is no error if the caller has disconnected.
 	w.Write([]byte("event: error\ndata: "))
 	w.Write(r.Body())
 	w.Write([]byte("\n\n"))
 	if err := flush(http.NewResponseController(w)); err != nil {
-		a.chatter.meter.Count("chat.unheard", 1)
+		a.handler.meter.Count("chat.unheard", 1)
 	}
 }
--- a/entry/request/chatter/run.go
+++ b/entry/request/chatter/run.go
@@ -18,99 +18,101 @@
 	"github.com/heathervane/heathervane/entry/request/retrier"
 )
 
-// Error is the class of what goes wrong within an attempt.
+// Error is the class of errors within an attempt.
 var Error = errs.Class("attempt")
 
 var (
-	errLapsed  = Error.New("its place lapsed before it was used")
-	errNoParts = Error.New("a grant without parts")
+	errSlotExpired = Error.New("its place lapsed before it was used")
+	errEmptyGrant  = Error.New("a grant without parts")
 )
 
-// run has the work done, at another upstream where one has failed before the
-// first token and nothing can run twice unseen.
-func (c *Handler) run(ctx context.Context, w http.ResponseWriter, j *job) {
+// run serves a request. If an attempt fails before the first token, the request
+// may be sent to another upstream. The response then carries the number of
+// attempts, so that no request runs twice unnoticed.
+func (h *Handler) run(ctx context.Context, w http.ResponseWriter, j *job) {
 	for {
 		call := dispatcher.Call{Pool: j.pool, Ask: j.ask(), Avoid: j.avoid}
-		grant, refusal := c.acquirer.Acquire(ctx, call)
+		grant, refusal := h.acquirer.Acquire(ctx, call)
 		if refusal != nil {
-			c.refuse(w, j.truthful(refusal))
+			h.refuse(w, j.withRan(refusal))
 			return
 		}
-		if after, held := c.quarantine.Held(j.fingerprint); held {
-			cancelled(grant)
-			c.refuse(w, j.truthful(quarantined(after)))
+		if after, held := h.quarantine.Held(j.fingerprint); held {
+			returnUnused(grant)
+			h.refuse(w, j.withRan(quarantineRefusal(after)))
 			return
 		}
-		j.tries++
-		a := c.attempt(j, call, grant)
+		j.attempts++
+		a := h.newAttempt(j, call, grant)
 		failure := a.serve(ctx, w)
-		j.note(a, failure)
+		j.recordRan(a, failure)
 		if failure == nil {
-			c.retrier.Completed(1)
-			c.quarantine.Served(j.fingerprint)
+			h.retrier.Completed(1)
+			h.quarantine.Served(j.fingerprint)
 			return
 		}
-		if ctx.Err() == nil && failure.lost() {
+		if ctx.Err() == nil && failure.engineLost() {
 			last := grant.Parts[len(grant.Parts)-1]
-			c.quarantine.Lost(j.fingerprint, last.Upstream.Name, int64(last.Boot))
+			h.quarantine.Lost(j.fingerprint, last.Upstream.Name, int64(last.Boot))
 		}
-		if !c.again(ctx, w, j, a, failure) {
+		if !h.retry(ctx, w, j, a, failure) {
 			return
 		}
 	}
 }
 
-// cancelled gives back a grant that is not used.
-func cancelled(g *dispatcher.Grant) {
+// returnUnused returns the slots of a grant that is not used.
+func returnUnused(g *dispatcher.Grant) {
 	for _, p := range g.Parts {
 		p.Slot.Done(dispatcher.Cancelled)
 	}
 }
 
-// note keeps what can be said of the work: "not run" only while no attempt can
-// have been begun by an engine, "run" only when a token has come.
-func (j *job) note(a *attempt, f *failure) {
-	if a.first {
+// recordRan updates what is known about the request after an attempt: "not run"
+// holds only while no engine can have started it, "run" only once a token has
+// arrived.
+func (j *job) recordRan(a *attempt, f *failure) {
+	if a.gotFirstToken {
 		j.ran = refuser.RanYes
-	} else if f != nil && f.sent && j.ran == refuser.RanNo {
+	} else if f != nil && f.mayHaveRun && j.ran == refuser.RanNo {
 		j.ran = refuser.RanUnknown
 	}
 }
 
-// forget drops the prompt once its first token has come: from then on it is
-// never sent again. An answer may take minutes, and the prompts of a VM's open
-// streams would else fill the memory that new ones need.
-func (j *job) forget() {
+// releasePrompt frees the prompt once the first token has arrived, after which
+// it is never sent again. A response may take minutes, and the prompts of all
+// open streams on a VM would otherwise fill the memory that new requests need.
+func (j *job) releasePrompt() {
 	j.chat.Prompt = ""
 	j.body.Release()
 }
 
-// truthful keeps a refusal from saying "not run" after an earlier attempt that
-// may have run.
-func (j *job) truthful(r *refuser.Refusal) *refuser.Refusal {
+// withRan keeps a refusal from reporting "not run" after an earlier attempt
+// that may have run.
+func (j *job) withRan(r *refuser.Refusal) *refuser.Refusal {
 	return r.WithRan(j.ran)
 }
 
-// again decides whether the work is sent to another upstream; where it is not,
-// it ends the request with the failure.
-func (c *Handler) again(ctx context.Context, w http.ResponseWriter, j *job, a *attempt, f *failure) bool {
+// retry decides whether a failed request is sent to another upstream. If it is
+// not, it ends the request with the failure.
+func (h *Handler) retry(ctx context.Context, w http.ResponseWriter, j *job, a *attempt, f *failure) bool {
 	j.avoid = append(j.avoid, a.grant.Names()...)
 	if len(j.avoid) >= len(j.pool.Upstreams) {
 		j.avoid = nil
 	}
-	decision := c.retrier.Decide(c.now(), retrier.Attempt{
-		Repeatable: true, MayHaveRun: f.sent, ResponseStarted: a.first, Attempts: j.tries, Deadline: j.deadline,
+	decision := h.retrier.Decide(h.now(), retrier.Attempt{
+		Repeatable: true, MayHaveRun: f.mayHaveRun, ResponseStarted: a.gotFirstToken, Attempts: j.attempts, Deadline: j.deadline,
 	})
-	if decision.Retry && ctx.Err() == nil && wait(ctx, decision.Delay) {
-		c.meter.Count("chat.retries", 1)
+	if decision.Retry && ctx.Err() == nil && sleep(ctx, decision.Delay) {
+		h.meter.Count("chat.retries", 1)
 		return true
 	}
-	c.meter.Count("chat.failed", 1)
+	h.meter.Count("chat.failed", 1)
 	a.fail(w, f.refusal(ctx, j))
 	return false
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -124,79 +126,79 @@
 	}
 }
 
-// A failure is an attempt that brought no whole answer.
+// A failure is an attempt without a complete response.
 type failure struct {
 	err error
-	// sent says that an engine may have begun the work.
-	sent bool
+	// mayHaveRun reports whether an engine may have started the request.
+	mayHaveRun bool
 }
 
-// lost says that the engine may have died under the work: its connection broke off, or
-// it has forgotten the stream.
-func (f *failure) lost() bool {
-	if !f.sent {
+// engineLost reports whether the engine may have crashed while it ran the
+// request: its connection broke, or it no longer has the stream.
+func (f *failure) engineLost() bool {
+	if !f.mayHaveRun {
 		return false
 	}
-	for _, end := range []error{streamer.ErrInterrupted, streamer.ErrGone, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
-		if errors.Is(f.err, end) {
+	for _, target := range []error{streamer.ErrInterrupted, streamer.ErrGone, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
+		if errors.Is(f.err, target) {
 			return true
 		}
 	}
 	return false
 }
 
-// refusal is what the caller is told.
+// refusal returns the refusal to send to the caller.
 func (f *failure) refusal(ctx context.Context, j *job) *refuser.Refusal {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return refuser.New(http.StatusGatewayTimeout, "timeout", "the time limit is over").WithRan(j.ran)
 	}
-	if !f.sent {
+	if !f.mayHaveRun {
 		return refuser.New(http.StatusServiceUnavailable, "upstream_refused", "%s", f.err).WithRan(j.ran).WithRetryAfter(time.Second)
 	}
 	return refuser.New(http.StatusBadGateway, "upstream_failed", "the engine failed: %s", f.err).WithRan(j.ran)
 }
 
-// An attempt is one sending of a job to the upstreams of a grant.
+// An attempt is one attempt to run a job on the upstreams of a grant.
 type attempt struct {
-	chatter *Handler
+	handler *Handler
 	job     *job
 	call    dispatcher.Call
 	grant   *dispatcher.Grant
 	id      string
-	// first says that the first token has come, started that the caller has
-	// had the first byte of its answer.
-	first, started bool
-	writer         answerer
-	// held are what was sent to the grant's parts, in their order.
-	held []holding
+	// gotFirstToken reports whether the first token has arrived, responseStarted
+	// whether the first byte of the response has been written to the caller.
+	gotFirstToken, responseStarted bool
+	encoder                        encoder
+	// remote is what was sent to the parts of the grant, in their order.
+	remote []remoteWork
 }
 
-// A holding is what may stand at an engine under an id.
-type holding struct {
+// remoteWork is a stream or prompt part that an engine may hold.
+type remoteWork struct {
 	id string
-	// clear says that the engine has told that it has nothing.
-	clear bool
+	// absent reports whether the engine certainly does not hold it.
+	absent bool
 }
 
-func (c *Handler) attempt(j *job, call dispatcher.Call, g *dispatcher.Grant) *attempt {
-	a := &attempt{chatter: c, job: j, call: call, grant: g, id: j.id}
-	if j.tries > 1 {
-		a.id += "." + strconv.Itoa(j.tries)
+func (h *Handler) newAttempt(j *job, call dispatcher.Call, g *dispatcher.Grant) *attempt {
+	a := &attempt{handler: h, job: j, call: call, grant: g, id: j.id}
+	if j.attempts > 1 {
+		a.id += "." + strconv.Itoa(j.attempts)
 	}
-	a.writer = newAnswerer(j, c.now())
+	a.encoder = newEncoder(j, h.now())
 	return a
 }
 
-// serve runs the attempt and passes its answer on.
+// serve runs the attempt and relays the response.
 func (a *attempt) serve(ctx context.Context, w http.ResponseWriter) *failure {
 	header := w.Header()
 	header.Set(refuser.UpstreamHeader, strings.Join(a.grant.Names(), ","))
-	if a.job.tries > 1 {
-		header.Set(refuser.TriesHeader, strconv.Itoa(a.job.tries))
+	if a.job.attempts > 1 {
+		header.Set(refuser.TriesHeader, strconv.Itoa(a.job.attempts))
 	}
 	last := a.grant.Parts[len(a.grant.Parts)-1]
-	a.chatter.watcher.RequestSent(last.Upstream.Name, a.id, last.Tokens+last.Ahead, float64(last.Upstream.Prefill))
-	defer a.chatter.watcher.RequestEnded(a.id)
+	a.handler.observer.RequestSent(last.Upstream.Name, a.id, last.Tokens+last.Ahead, float64(last.Upstream.Prefill))
+	defer a.handler.observer.RequestEnded(a.id)
 	stream, f := a.open(ctx)
 	if f != nil {
 		a.release(dispatcher.Refused)
@@ -204,57 +206,57 @@
 	}
 	defer stream.Close()
 	if err := a.relay(ctx, w, stream); err != nil {
-		a.release(outcome(ctx))
-		return &failure{err: err, sent: true}
+		a.release(failureOutcome(ctx))
+		return &failure{err: err, mayHaveRun: true}
 	}
 	a.release(dispatcher.Completed)
 	return nil
 }
 
-func outcome(ctx context.Context) dispatcher.Outcome {
+func failureOutcome(ctx context.Context) dispatcher.Outcome {
 	if ctx.Err() != nil {
 		return dispatcher.Cancelled
 	}
 	return dispatcher.Cut
 }
 
-// open reads the parts of a group in their order, each on the engine that will
-// keep it, and opens the stream on the last. A single engine is a group of one.
+// open has each part of the prompt read and stored by its engine, in order, and
+// opens the stream at the last engine. A single engine is a group of one.
 func (a *attempt) open(ctx context.Context) (*streamer.Stream, *failure) {
 	prompt := a.job.chat.Prompt
 	var imports []streamer.Import
-	sent := false
+	mayHaveRun := false
 	for i, part := range a.grant.Parts {
 		last := i == len(a.grant.Parts)-1
 		text := prompt
 		if !last {
-			text = prompt[:min(len(prompt), part.Tokens*a.job.bytes)]
+			text = prompt[:min(len(prompt), part.Tokens*a.job.bytesPerToken)]
 			prompt = prompt[len(text):]
 		}
 		if !part.Slot.Live() {
-			return nil, &failure{err: errLapsed, sent: sent}
+			return nil, &failure{err: errSlotExpired, mayHaveRun: mayHaveRun}
 		}
-		job := a.wire(i, part, text, imports)
-		a.hold(job.ID)
+		job := a.streamerJob(i, part, text, imports)
+		a.addRemote(job.ID)
 		if last {
-			stream, err := a.chatter.streamer.Open(ctx, part.Upstream.Address, job)
-			return stream, a.failed(part, err, sent)
+			stream, err := a.handler.streamer.Open(ctx, part.Upstream.Address, job)
+			return stream, a.classifyError(part, err, mayHaveRun)
 		}
-		handle, err := a.chatter.streamer.PrefillPart(ctx, part.Upstream.Address, job)
-		if f := a.failed(part, err, sent); f != nil {
+		handle, err := a.handler.streamer.PrefillPart(ctx, part.Upstream.Address, job)
+		if f := a.classifyError(part, err, mayHaveRun); f != nil {
 			return nil, f
 		}
-		sent = true
+		mayHaveRun = true
 		imports = append(imports, streamer.Import{Address: part.Upstream.Address, Handle: handle})
 	}
-	return nil, &failure{err: errNoParts}
+	return nil, &failure{err: errEmptyGrant}
 }
 
-func (a *attempt) wire(i int, part dispatcher.Part, text string, imports []streamer.Import) streamer.Job {
-	c := a.chatter.config
+func (a *attempt) streamerJob(i int, part dispatcher.Part, text string, imports []streamer.Import) streamer.Job {
+	config := a.handler.config
 	j := streamer.Job{
-		ID: a.id, VM: c.VM, Boot: c.Boot, ExpectedBoot: part.Boot, Model: a.job.model,
-		Prompt: text, MaxOutputTokens: a.job.output, Priority: a.priority(), Imports: imports,
+		ID: a.id, VM: config.VM, Boot: config.Boot, ExpectedBoot: part.Boot, Model: a.job.model,
+		Prompt: text, MaxOutputTokens: a.job.maxTokens, Priority: a.enginePriority(), Imports: imports,
 	}
 	if i < len(a.grant.Parts)-1 {
 		j.ID += "-p" + strconv.Itoa(i)
@@ -263,9 +265,9 @@
 	return j
 }
 
-// priority is the engines' priority: first the class, then within a class the
-// teams that keep to their share.
-func (a *attempt) priority() int {
+// enginePriority returns the priority of the request at the engines: by class
+// first, and within a class higher for teams that keep to their share.
+func (a *attempt) enginePriority() int {
 	p := 2 * a.job.priority
 	if !a.grant.Over {
 		p++
@@ -273,53 +275,56 @@
 	return p
 }
 
-func (a *attempt) hold(id string) {
-	a.held = append(a.held, holding{id: id})
-	a.chatter.running.add(id)
+func (a *attempt) addRemote(id string) {
+	a.remote = append(a.remote, remoteWork{id: id})
+	a.handler.inProgress.add(id)
 }
 
-// failed sorts an engine's error, and tells of evidence that it turned cold.
-func (a *attempt) failed(part dispatcher.Part, err error, sent bool) *failure {
+// classifyError turns an engine's error into a failure, and reports evidence
+// that the engine is in cold start.
+func (a *attempt) classifyError(part dispatcher.Part, err error, mayHaveRun bool) *failure {
 	if err == nil {
 		return nil
 	}
 	var r *streamer.RefusedError
 	if !errors.As(err, &r) {
-		a.chatter.watcher.ReportCold(part.Upstream.Name, 0, "reset")
-		return &failure{err: err, sent: true}
+		a.handler.observer.ReportCold(part.Upstream.Name, 0, "reset")
+		return &failure{err: err, mayHaveRun: true}
 	}
-	a.held[len(a.held)-1].clear = !r.MayHaveRun
+	a.remote[len(a.remote)-1].absent = !r.MayHaveRun
 	switch r.Code {
 	case "boot", "down", "unreached":
-		a.chatter.watcher.ReportCold(part.Upstream.Name, r.Boot, r.Code)
+		a.handler.observer.ReportCold(part.Upstream.Name, r.Boot, r.Code)
 	}
-	return &failure{err: err, sent: sent || r.MayHaveRun}
+	return &failure{err: err, mayHaveRun: mayHaveRun || r.MayHaveRun}
 }
 
-// release gives the places back. Where something still stands at an engine, its
-// place goes back only when the engine has confirmed that it is gone: until
-// then the engine's memory is in use, and lending it again would overfill it.
+// release returns the slots. If an engine may still hold work, its slot is
+// returned only when the engine has confirmed that the work is gone: until then
+// the work uses the engine's memory, and a new request in its slot could exceed
+// it.
 func (a *attempt) release(o dispatcher.Outcome) {
 	for i, p := range a.grant.Parts {
-		if i >= len(a.held) {
+		if i >= len(a.remote) {
 			p.Slot.Done(dispatcher.Cancelled)
 			continue
 		}
-		h := a.held[i]
-		if h.clear {
-			a.chatter.running.remove(h.id)
+		work := a.remote[i]
+		if work.absent {
+			a.handler.inProgress.remove(work.id)
 			p.Slot.Done(dispatcher.Refused)
 			continue
 		}
 		done := func() {
-			a.chatter.running.remove(h.id)
+			a.handler.inProgress.remove(work.id)
 			p.Slot.Done(o)
 		}
-		// A whole answer frees its stream by itself; a group's parts do not.
+		// An engine frees a stream itself when the response is complete, but
+		// not the parts of a group.
 		if o == dispatcher.Completed && i == len(a.grant.Parts)-1 {
 			done()
 			continue
 		}
-		a.chatter.canceller.Cancel(p.Upstream.Address, h.id, done)
+		a.handler.canceller.Cancel(p.Upstream.Address, work.id, done)
 	}
 }
