--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -83,7 +83,7 @@
 	}
 	time := placer.DecodePassTime(e.figures, len(e.writing), context)
 	// A pass reads no more than its steps hold.
-	room := float64(e.figures.Stride*e.figures.Chunk) / e.figures.ReadRate
+	room := float64(e.figures.StepsPerPass*e.figures.PrefillChunk) / e.figures.PrefillRate
 	slices.SortStableFunc(e.parts, func(a, b *part) int { return order(a) - order(b) })
 	e.reads = e.reads[:0]
 	for _, p := range e.parts {
@@ -113,7 +113,7 @@
 func (e *engine) end(at float64) {
 	still := e.writing[:0]
 	for _, r := range e.writing {
-		r.event(at, e.figures.Stride)
+		r.event(at, e.figures.StepsPerPass)
 		if r.left > 0 && !r.gone {
 			still = append(still, r)
 			continue
--- a/bench/emulator/load.go
+++ b/bench/emulator/load.go
@@ -59,8 +59,8 @@
 // figures are an engine's, by what differs between deployments.
 func figures(slots, memory, stride int, rate, pairs float64) matcher.Engine {
 	return matcher.Engine{
-		Slots: slots, Memory: memory, Stride: stride, Chunk: 2048, Step: 1,
-		PerStream: 0.0035, PerContext: 0.0035, ReadRate: rate, Pairs: pairs, Hop: 0.1,
+		Slots: slots, KVCapacity: memory, StepsPerPass: stride, PrefillChunk: 2048, StepTime: 1,
+		StepTimePerStream: 0.0035, StepTimePerContext: 0.0035, PrefillRate: rate, AttentionTime: pairs, HopTime: 0.1,
 	}
 }
 
@@ -219,7 +219,7 @@
 
 // work is an engine's reading time of a prompt in milliseconds.
 func (d *Deployment) work(tokens float64) float64 {
-	return tokens/d.Figures.ReadRate + tokens*tokens/2e6*d.Figures.Pairs
+	return tokens/d.Figures.PrefillRate + tokens*tokens/2e6*d.Figures.AttentionTime
 }
 
 // arrivals draws all requests of a run, by time.
--- a/entry/connection/acceptor/acceptor.go
+++ b/entry/connection/acceptor/acceptor.go
@@ -76,7 +76,7 @@
 		listener: l, handler: h, most: most, now: now, log: log,
 		open: make(map[net.Conn]*held), ended: make(chan struct{}, 1), done: make(chan struct{}),
 	}
-	a.Limit(matcher.Limits{HeaderTime: headerTime, IdleTime: idleTime})
+	a.Limit(matcher.Limits{HeaderTimeout: headerTime, IdleTimeout: idleTime})
 	return a
 }
 
@@ -93,9 +93,9 @@
 		Handler:           http.HandlerFunc(a.serve),
 		ConnContext:       a.context,
 		ConnState:         a.state,
-		ReadHeaderTimeout: l.HeaderTime,
-		IdleTimeout:       l.IdleTime + idleSpare,
-		MaxHeaderBytes:    int(l.Header),
+		ReadHeaderTimeout: l.HeaderTimeout,
+		IdleTimeout:       l.IdleTimeout + idleSpare,
+		MaxHeaderBytes:    int(l.MaxHeaderBytes),
 	}
 	go func() {
 		if err := g.server.Serve(g); err != nil && !errors.Is(err, http.ErrServerClosed) {
--- a/entry/connection/acceptor/acceptor_test.go
+++ b/entry/connection/acceptor/acceptor_test.go
@@ -63,11 +63,11 @@
 // connected: nobody is cut off, and whoever comes after is held to the new ones.
 func TestLimitsChangeForNewConnectionsOnly(t *testing.T) {
 	a, address := start(t, ok)
-	a.Limit(matcher.Limits{Header: 16 << 10, HeaderTime: time.Minute, IdleTime: time.Minute})
+	a.Limit(matcher.Limits{MaxHeaderBytes: 16 << 10, HeaderTimeout: time.Minute, IdleTimeout: time.Minute})
 	old, oldReader := dial(t, address)
 	long := "X-A: " + strings.Repeat("a", 10<<10) + "\r\n"
 	assert.Equal(t, ask(t, old, oldReader, long), http.StatusOK)
-	a.Limit(matcher.Limits{Header: 1 << 10, HeaderTime: time.Minute, IdleTime: time.Minute})
+	a.Limit(matcher.Limits{MaxHeaderBytes: 1 << 10, HeaderTimeout: time.Minute, IdleTimeout: time.Minute})
 	assert.Equal(t, ask(t, old, oldReader, long), http.StatusOK)
 	fresh, freshReader := dial(t, address)
 	assert.Equal(t, ask(t, fresh, freshReader, long), http.StatusRequestHeaderFieldsTooLarge)
@@ -76,7 +76,7 @@
 // Whoever sends half a request and stops would hold a connection forever.
 func TestHalfARequestEndsAtItsTime(t *testing.T) {
 	a, address := start(t, ok)
-	a.Limit(matcher.Limits{Header: 1 << 10, HeaderTime: 100 * time.Millisecond, IdleTime: time.Minute})
+	a.Limit(matcher.Limits{MaxHeaderBytes: 1 << 10, HeaderTimeout: 100 * time.Millisecond, IdleTimeout: time.Minute})
 	c, r := dial(t, address)
 	fmt.Fprint(c, "GET / HTTP/1.1\r\nHost")
 	assert.NilError(t, c.SetReadDeadline(time.Now().Add(10*time.Second)))
@@ -98,7 +98,7 @@
 		c, r := dial(t, address)
 		go func() { statuses <- ask(t, c, r, "") }()
 		<-begun
-		a.Limit(matcher.Limits{Header: int64(1+i) << 10})
+		a.Limit(matcher.Limits{MaxHeaderBytes: int64(1+i) << 10})
 	}
 	stopped := make(chan error, 1)
 	go func() { stopped <- a.Shutdown(t.Context()) }()
@@ -159,7 +159,7 @@
 	a, address := start(t, ok)
 	before := runtime.NumGoroutine()
 	for i := range 200 {
-		a.Limit(matcher.Limits{Header: int64(1000 + i), HeaderTime: time.Minute, IdleTime: time.Minute})
+		a.Limit(matcher.Limits{MaxHeaderBytes: int64(1000 + i), HeaderTimeout: time.Minute, IdleTimeout: time.Minute})
 		if i%50 == 0 {
 			c, r := dial(t, address)
 			assert.Equal(t, ask(t, c, r, ""), http.StatusOK)
--- a/entry/process/allocator/network_test.go
+++ b/entry/process/allocator/network_test.go
@@ -19,8 +19,8 @@
 )
 
 var engine = &matcher.Engine{
-	Slots: 2, Memory: 232_000, Stride: 43, Chunk: 2048,
-	Step: 1.02, PerStream: 0.00226, PerContext: 0.00431, ReadRate: 206, Pairs: 0.138,
+	Slots: 2, KVCapacity: 232_000, StepsPerPass: 43, PrefillChunk: 2048,
+	StepTime: 1.02, StepTimePerStream: 0.00226, StepTimePerContext: 0.00431, PrefillRate: 206, AttentionTime: 0.138,
 }
 
 // soon is in what time a request has a place that is free: a leader that begins to
@@ -101,7 +101,7 @@
 func newNetwork(t testing.TB, zones []string, upstreams int) *network {
 	n := &network{t: t, now: time.Unix(1_000_000, 0), blocked: map[[2]int]bool{}}
 	for i, zone := range zones {
-		v := &vm{network: n, index: i, tracker: tracker.New(), unheard: map[int]bool{}, service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}}
+		v := &vm{network: n, index: i, tracker: tracker.New(), unheard: map[int]bool{}, service: &matcher.Service{Name: "s", Engine: engine, ColdStartRate: 4}}
 		// The first is the strongest, so that a test knows who leads.
 		v.member = allocator.Member{VM: "vm" + strconv.Itoa(i), Address: address(i), Zone: zone, Cores: 2 - float64(i)/8}
 		n.vms = append(n.vms, v)
@@ -177,7 +177,7 @@
 }
 
 func (n *network) call() scheduler.Request {
-	return scheduler.Request{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Requirements: placer.Request{
+	return scheduler.Request{Service: &matcher.Service{Name: "s", Engine: engine, ColdStartRate: 4}, Requirements: placer.Request{
 		Prompt: 1000, Output: 40, MaxPause: 250, Arrived: n.now, Objective: n.now.Add(time.Second), Deadline: n.now.Add(10 * time.Second),
 	}}
 }
--- a/entry/process/dispatcher/pool.go
+++ b/entry/process/dispatcher/pool.go
@@ -93,7 +93,7 @@
 func known(vm string, vp *viewer.Pool) []viewer.Upstream {
 	var us []viewer.Upstream
 	for _, u := range vp.Upstreams {
-		if !u.Out {
+		if !u.OutOfService {
 			us = append(us, u)
 		}
 	}
--- a/entry/process/joiner/list_test.go
+++ b/entry/process/joiner/list_test.go
@@ -60,10 +60,10 @@
 
 func (*slow) ParseChange(replicator.Record) (joiner.ConfigChange, error) {
 	return joiner.ConfigChange{Config: &matcher.Config{
-		Version: 1, Services: []matcher.Service{{Name: "s"}}, Limits: matcher.Limits{Body: 1 << 10},
+		Version: 1, Services: []matcher.Service{{Name: "s"}}, Limits: matcher.Limits{MaxBodyBytes: 1 << 10},
 		Routes: []matcher.Route{{
-			Name: "r", Host: "a.example", Prefix: "/", Kind: matcher.Safe, Attempts: 1, Timeout: 5 * time.Second,
-			Objective: time.Second, Split: []matcher.Weight{{Service: "s", Weight: 1}},
+			Name: "r", Host: "a.example", Prefix: "/", Kind: matcher.Safe, MaxAttempts: 1, Timeout: 5 * time.Second,
+			Objective: time.Second, Split: []matcher.WeightedService{{Service: "s", Weight: 1}},
 		}},
 	}}, nil
 }
--- a/entry/process/scheduler/queue.go
+++ b/entry/process/scheduler/queue.go
@@ -180,7 +180,7 @@
 			c.Load = *l
 		}
 		c.Load.Add(s.unknownAt(u.Slots))
-		if rate := call.Service.ColdRate; rate > 0 && c.Cold {
+		if rate := call.Service.ColdStartRate; rate > 0 && c.Cold {
 			c.Quota = s.coldOf(u.ID).Available(now, s.deps.ColdQuota(u.ID, rate))
 		}
 		if u.Limit.Limited {
--- a/entry/process/scheduler/scheduler_test.go
+++ b/entry/process/scheduler/scheduler_test.go
@@ -15,8 +15,8 @@
 )
 
 var engine = &matcher.Engine{
-	Slots: 2, Memory: 232_000, Stride: 43, Chunk: 2048,
-	Step: 1.02, PerStream: 0.00226, PerContext: 0.00431, ReadRate: 206, Pairs: 0.138,
+	Slots: 2, KVCapacity: 232_000, StepsPerPass: 43, PrefillChunk: 2048,
+	StepTime: 1.02, StepTimePerStream: 0.00226, StepTimePerContext: 0.00431, PrefillRate: 206, AttentionTime: 0.138,
 }
 
 // A fleet is a scheduler with upstreams and a clock that a test sets.
@@ -47,7 +47,7 @@
 }
 
 func (f *fleet) call(prompt int, limit time.Duration) scheduler.Request {
-	return scheduler.Request{Service: &matcher.Service{Name: "s", Engine: engine, ColdRate: 4}, Requirements: placer.Request{
+	return scheduler.Request{Service: &matcher.Service{Name: "s", Engine: engine, ColdStartRate: 4}, Requirements: placer.Request{
 		Prompt: prompt, Output: 40, MaxPause: 250, Arrived: f.now, Objective: f.now.Add(limit / 10), Deadline: f.now.Add(limit),
 	}}
 }
--- a/entry/process/scheduler/times.go
+++ b/entry/process/scheduler/times.go
@@ -77,7 +77,7 @@
 	first := milliseconds(1.5*pass + read)
 	// Whether an answer is as long as it may be is not known beforehand: refused
 	// for that, most requests would lose an answer that they could have had.
-	answer := milliseconds(pass * placer.TypicalOutputShare * float64(c.Requirements.Output) / float64(max(1, e.Stride)))
+	answer := milliseconds(pass * placer.TypicalOutputShare * float64(c.Requirements.Output) / float64(max(1, e.StepsPerPass)))
 	leaves := time.Time{}
 	if !c.Requirements.CallerTimeout.IsZero() {
 		leaves = c.Requirements.CallerTimeout.Add(-first - margin)
--- a/entry/process/server/configure.go
+++ b/entry/process/server/configure.go
@@ -33,7 +33,7 @@
 	var us []coordinator.Upstream
 	for _, u := range v.Upstreams() {
 		us = append(us, coordinator.Upstream{
-			Name: u.Name, Address: u.Address, Zone: u.Zone, Slots: u.Slots, Cold: u.Cold, Memory: u.Memory, Out: u.Out,
+			Name: u.Name, Address: u.Address, Zone: u.Zone, Slots: u.Slots, Cold: u.Cold, Memory: u.Memory, Out: u.OutOfService,
 			Longest: longest(v, u),
 		})
 	}
@@ -59,7 +59,7 @@
 	if view == nil {
 		return false
 	}
-	return view.Out(viewer.KindVM, v.settings.ID) || view.Out(viewer.KindZone, v.settings.Zone)
+	return view.OutOfService(viewer.KindVM, v.settings.ID) || view.OutOfService(viewer.KindZone, v.settings.Zone)
 }
 
 // configured is the readiness of the configuration.
--- a/entry/process/server/fetch.go
+++ b/entry/process/server/fetch.go
@@ -23,7 +23,7 @@
 // are no longer in force: it then gets the state from that VM. It must not
 // block the link that it is called from.
 func (v *Server) heard(vm string, read uint64) {
-	if !v.follower.Behind(read, time.Now()) || !v.fetching.CompareAndSwap(false, true) {
+	if !v.follower.ShouldFetch(read, time.Now()) || !v.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
@@ -37,7 +37,7 @@
 func (v *Server) fetch(ctx context.Context, vm string) {
 	data, err := v.linker.Fetch(ctx, vm)
 	if err == nil {
-		_, err = v.follower.Adopt(data)
+		_, err = v.follower.ApplySnapshot(data)
 	}
 	if err != nil {
 		v.meter.Count("configuration.fetches.failed", 1)
@@ -66,11 +66,11 @@
 			return
 		case <-t.C:
 		}
-		if !v.follower.Due(time.Now()) {
+		if !v.follower.CheckpointDue(time.Now()) {
 			continue
 		}
 		limited, cancel := context.WithTimeout(ctx, dutyTime)
-		if err := v.follower.Write(limited); err != nil {
+		if err := v.follower.WriteCheckpoint(limited); err != nil {
 			v.meter.Count("checkpoints.failed", 1)
 		}
 		cancel()
--- a/entry/process/server/orders.go
+++ b/entry/process/server/orders.go
@@ -96,7 +96,7 @@
 func (v *Server) orderFacts(ctx context.Context, view *viewer.View) (facts []orderer.Observation, behind int) {
 	for _, u := range view.Upstreams() {
 		m := view.Manifest.Models[u.Model]
-		if u.Out || u.Model == "" || m.Version == "" {
+		if u.OutOfService || u.Model == "" || m.Version == "" {
 			continue
 		}
 		load := time.Duration(m.Load)
--- a/entry/process/server/secure.go
+++ b/entry/process/server/secure.go
@@ -14,7 +14,7 @@
 		if err != nil {
 			return err
 		}
-		v.callersTLS = r.Server()
+		v.callersTLS = r.ServerConfig()
 	}
 	if s.Peers.Certificate != "" {
 		files := reloader.Files{Certificate: s.Peers.Certificate, Key: s.Peers.Key, Authority: s.Peers.Authority}
@@ -22,7 +22,7 @@
 		if err != nil {
 			return err
 		}
-		v.peersTLS, v.linksTLS = r.Server(), r.Client()
+		v.peersTLS, v.linksTLS = r.ServerConfig(), r.ClientConfig()
 	}
 	return nil
 }
--- a/entry/request/authenticator/authenticator.go
+++ b/entry/request/authenticator/authenticator.go
@@ -33,7 +33,7 @@
 
 // Limit returns the time limit of a request within the bounds of its work.
 func Limit(q *http.Request, limit, least, most checker.Duration) (time.Duration, *refuser.Refusal) {
-	d, err := viewer.Limit(q.Header.Get(TimeoutHeader), limit, least, most)
+	d, err := viewer.ParseTimeLimit(q.Header.Get(TimeoutHeader), limit, least, most)
 	if err != nil {
 		return 0, refuser.BadRequest(TimeoutHeader, "bad_timeout", "%s", err)
 	}
--- a/entry/request/placer/engine.go
+++ b/entry/request/placer/engine.go
@@ -22,12 +22,12 @@
 // a prompt that is split among the given number of engines. Each part accounts for
 // an equal share of the token pairs of the whole prompt.
 func PrefillTime(e *matcher.Engine, tokens, engines int) float64 {
-	if tokens <= 0 || e.ReadRate <= 0 {
+	if tokens <= 0 || e.PrefillRate <= 0 {
 		return 0
 	}
 	n := float64(tokens)
 	pairs := n * n / 2 / 1e6
-	return (n/e.ReadRate + pairs*e.Pairs) / float64(max(1, engines))
+	return (n/e.PrefillRate + pairs*e.AttentionTime) / float64(max(1, engines))
 }
 
 // DecodePassTime is how long a pass takes, in milliseconds, in which the given
@@ -36,8 +36,8 @@
 	if streams <= 0 {
 		return 0
 	}
-	step := e.Step + float64(streams)*e.PerStream + float64(context)/1000*e.PerContext
-	return float64(max(1, e.Stride)) * step
+	step := e.StepTime + float64(streams)*e.StepTimePerStream + float64(context)/1000*e.StepTimePerContext
+	return float64(max(1, e.StepsPerPass)) * step
 }
 
 // TimeToFirstToken estimates the time to the first token in milliseconds, for a
--- a/entry/request/placer/group.go
+++ b/entry/request/placer/group.go
@@ -237,7 +237,7 @@
 func (c *Candidate) mainCost(e *matcher.Engine, r Request, part float64) float64 {
 	cost := c.interference(e, part) + costPerSecond*(TimeToFirstToken(e, c.Load, part)+c.penalty(r)+failureCost*c.failureRisk())/1000
 	if c.Load.Streams == 0 {
-		cost += costPerEngineSecond * TypicalOutputShare * float64(r.Output) * e.Step / 1000
+		cost += costPerEngineSecond * TypicalOutputShare * float64(r.Output) * e.StepTime / 1000
 	}
 	return cost
 }
--- a/entry/request/placer/placer_test.go
+++ b/entry/request/placer/placer_test.go
@@ -15,8 +15,8 @@
 
 // engine has the figures of a current engine.
 var engine = &matcher.Engine{
-	Slots: 16, Memory: 232_000, Stride: 43, Chunk: 2048,
-	Step: 1.02, PerStream: 0.00226, PerContext: 0.00431, ReadRate: 206, Pairs: 0.138, Hop: 0.075,
+	Slots: 16, KVCapacity: 232_000, StepsPerPass: 43, PrefillChunk: 2048,
+	StepTime: 1.02, StepTimePerStream: 0.00226, StepTimePerContext: 0.00431, PrefillRate: 206, AttentionTime: 0.138, HopTime: 0.075,
 }
 
 var now = time.Unix(1_000_000, 0)
@@ -211,10 +211,10 @@
 	reserved := 0
 	for _, reservation := range p.Reservations {
 		reserved += reservation.Tokens
-		assert.Assert(t, reservation.Tokens <= engine.Memory)
+		assert.Assert(t, reservation.Tokens <= engine.KVCapacity)
 		assert.Assert(t, slices.Contains(p.Helpers, reservation.Candidate))
 	}
-	assert.Assert(t, r.Prompt+r.Output-reserved <= engine.Memory)
+	assert.Assert(t, r.Prompt+r.Output-reserved <= engine.KVCapacity)
 	for i, reservation := range p.Reservations {
 		assert.Equal(t, p.Helpers[i], reservation.Candidate, "helpers with reservations must come first, in the same order")
 	}
@@ -302,11 +302,11 @@
 		need := r.Prompt + r.Output
 		for _, reservation := range p.Reservations {
 			need -= reservation.Tokens
-			if cs[reservation.Candidate].Load.ContextTokens+reservation.Tokens > engine.Memory {
+			if cs[reservation.Candidate].Load.ContextTokens+reservation.Tokens > engine.KVCapacity {
 				t.Fatalf("%+v has too little memory for its reservation", cs[reservation.Candidate])
 			}
 		}
-		if cs[p.Main].Load.ContextTokens+need > engine.Memory {
+		if cs[p.Main].Load.ContextTokens+need > engine.KVCapacity {
 			t.Fatalf("the main engine has no memory for %d tokens", need)
 		}
 	})
--- a/entry/request/placer/single.go
+++ b/entry/request/placer/single.go
@@ -108,5 +108,5 @@
 }
 
 func (c *Candidate) freeMemory(e *matcher.Engine) int {
-	return int(usableMemoryShare*float64(e.Memory)) - c.Load.ContextTokens
+	return int(usableMemoryShare*float64(e.KVCapacity)) - c.Load.ContextTokens
 }
--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -122,13 +122,13 @@
 func (r *Relayer) acquire(ctx context.Context, j *job) (*attempt, *refuser.Refusal) {
 	waitStart := r.deps.Now()
 	giveUpAt := time.Time{}
-	if j.route.Patience > 0 && !j.headerSent {
-		giveUpAt = j.arrivedAt.Add(j.route.Patience)
+	if j.route.CallerTimeout > 0 && !j.headerSent {
+		giveUpAt = j.arrivedAt.Add(j.route.CallerTimeout)
 	}
 	grant, refused := r.deps.Allocator.Acquire(ctx, scheduler.Request{
 		Service: j.service, Priority: j.priority(), Team: j.teamName(),
 		Requirements: placer.Request{
-			Prompt: j.info.PromptTokens, Output: j.info.MaxOutputTokens, Tried: j.tried, MaxPause: float64(j.route.Gap.Milliseconds()),
+			Prompt: j.info.PromptTokens, Output: j.info.MaxOutputTokens, Tried: j.tried, MaxPause: float64(j.route.GapTarget.Milliseconds()),
 			Arrived: j.arrivedAt, Objective: j.arrivedAt.Add(j.route.Objective), Deadline: j.deadline, CallerTimeout: giveUpAt,
 		},
 	})
@@ -307,7 +307,7 @@
 		// A request that may run only once is sent on a new connection. If a reused
 		// one turned out to be closed, it would be unknown whether the request ran.
 		Fresh: !j.route.Repeatable(),
-		Idle:  r.deps.MaxIdleConns(j.service.Connections, a.grant.Upstream.ID),
+		Idle:  r.deps.MaxIdleConns(j.service.MaxConnections, a.grant.Upstream.ID),
 	}
 	return q
 }
@@ -400,7 +400,7 @@
 // allowRetry reports whether the request may be sent once more. If so, the retry is
 // taken from the budget.
 func (r *Relayer) allowRetry(ctx context.Context, j *job) bool {
-	if ctx.Err() != nil || j.declines > maxDeclines || j.possibleRuns >= max(1, j.route.Attempts) {
+	if ctx.Err() != nil || j.declines > maxDeclines || j.possibleRuns >= max(1, j.route.MaxAttempts) {
 		return false
 	}
 	if _, held := r.deps.Quarantine.Held(j.fingerprint); held {
--- a/entry/request/relayer/harness_test.go
+++ b/entry/request/relayer/harness_test.go
@@ -170,18 +170,20 @@
 }
 
 var engine = &matcher.Engine{
-	Slots: 4, Memory: 232_000, Stride: 43, Chunk: 2048, Step: 1, PerStream: 0.002, PerContext: 0.004, ReadRate: 206, Pairs: 0.138,
+	Slots: 4, KVCapacity: 232_000, StepsPerPass: 43, PrefillChunk: 2048, StepTime: 1, StepTimePerStream: 0.002, StepTimePerContext: 0.004, PrefillRate: 206, AttentionTime: 0.138,
 }
 
 func routes() matcher.Config {
-	to := func(service string) []matcher.Weight { return []matcher.Weight{{Service: service, Weight: 1}} }
+	to := func(service string) []matcher.WeightedService {
+		return []matcher.WeightedService{{Service: service, Weight: 1}}
+	}
 	route := func(name string, kind matcher.Kind) matcher.Route {
 		return matcher.Route{
-			Name: name, Host: "a.example", Prefix: "/" + name + "/", Kind: kind, Split: to("plain"), Attempts: 2,
-			Timeout: 5 * time.Second, Objective: 300 * time.Millisecond, Gap: 200 * time.Millisecond,
+			Name: name, Host: "a.example", Prefix: "/" + name + "/", Kind: kind, Split: to("plain"), MaxAttempts: 2,
+			Timeout: 5 * time.Second, Objective: 300 * time.Millisecond, GapTarget: 200 * time.Millisecond,
 		}
 	}
-	c := matcher.Config{Version: 7, Limits: matcher.Limits{Body: 1 << 20}}
+	c := matcher.Config{Version: 7, Limits: matcher.Limits{MaxBodyBytes: 1 << 20}}
 	c.Routes = []matcher.Route{route("safe", matcher.Safe), route("unsafe", matcher.Unsafe), route("stream", matcher.Stream), route("resume", matcher.Stream)}
 	c.Routes[3].Resumable = true
 	c.Routes[2].Split, c.Routes[3].Split = to("model"), to("model")
--- a/entry/request/relayer/relayer.go
+++ b/entry/request/relayer/relayer.go
@@ -287,7 +287,7 @@
 	if leaving, left := r.deps.ShuttingDown(); leaving && left < r.expectedDuration(j) {
 		return refuser.New(http.StatusServiceUnavailable, "leaving", "this VM is about to stop").WithRetryAfter(retryAfter)
 	}
-	bodies := reader.Reader{MaxBytes: table.Limits.Body, Budget: r.deps.BodyMemory, Timeout: min(timeout, maxBodyReadTime)}
+	bodies := reader.Reader{MaxBytes: table.Limits.MaxBodyBytes, Budget: r.deps.BodyMemory, Timeout: min(timeout, maxBodyReadTime)}
 	if bodies.MaxBytes <= 0 {
 		bodies.MaxBytes = maxBufferedBytes
 	}
@@ -338,12 +338,12 @@
 		return refuser.New(http.StatusNotFound, "no_route", "no route serves this host and path")
 	}
 	j.route = route
-	if table.Guarded() && !route.Anonymous {
+	if table.RequiresKey() && !route.Anonymous {
 		if j.team, ok = table.Team(j.info.APIKey); !ok {
 			return refuser.New(http.StatusUnauthorized, "no_key", "the key is not known")
 		}
 	}
-	name, ok := route.Pick()
+	name, ok := route.PickService()
 	if ok {
 		j.service, ok = table.Service(name)
 	}
@@ -361,8 +361,8 @@
 		return min(j.route.Timeout, typicalCallDuration)
 	}
 	e := j.service.Engine
-	pass := placer.DecodePassTime(e, e.Slots, e.Memory/typicalMemoryDivisor)
-	decodeTime := pass * float64(j.info.MaxOutputTokens) / float64(max(1, e.Stride))
+	pass := placer.DecodePassTime(e, e.Slots, e.KVCapacity/typicalMemoryDivisor)
+	decodeTime := pass * float64(j.info.MaxOutputTokens) / float64(max(1, e.StepsPerPass))
 	return j.route.Objective + time.Duration(decodeTime*float64(time.Millisecond))
 }
 
@@ -377,7 +377,7 @@
 // priority returns the priority of the request's team if it has one, else that of
 // the route.
 func (j *job) priority() int {
-	if j.team != nil && j.team.Ranked {
+	if j.team != nil && j.team.HasPriority {
 		return j.team.Priority
 	}
 	return j.route.Priority
--- a/entry/request/relayer/relayer_test.go
+++ b/entry/request/relayer/relayer_test.go
@@ -198,7 +198,7 @@
 // Without a configuration, as on a VM that has just started, the refusal says to retry.
 func TestRefusalsByTheConfiguration(t *testing.T) {
 	c := routes()
-	c.Teams = []matcher.Team{{Name: "gold", Keys: []string{"k"}}}
+	c.Teams = []matcher.Team{{Name: "gold", APIKeys: []string{"k"}}}
 	c.Routes[0].Anonymous = true
 	b := newHarness(t, c)
 	b.upstream("u1", "plain", answerSealed)
--- a/entry/request/relayer/stream.go
+++ b/entry/request/relayer/stream.go
@@ -106,7 +106,7 @@
 			j.log.maxPause = max(j.log.maxPause, now.Sub(last))
 		}
 		last = now
-		a.watchdog.reset(max(maxSilence, 2*j.route.Gap))
+		a.watchdog.reset(max(maxSilence, 2*j.route.GapTarget))
 		if errors.Is(err, io.EOF) {
 			if !j.headerSent {
 				r.sendHeader(w, j, a)
--- a/entry/request/relayer/watch.go
+++ b/entry/request/relayer/watch.go
@@ -19,7 +19,7 @@
 // startWatchdog starts the watchdog of one attempt, which it ends by calling cancel.
 func (r *Relayer) startWatchdog(j *job, firstTimeout time.Duration, cancel context.CancelFunc) *watchdog {
 	w := &watchdog{}
-	if !j.route.Repeatable() || j.possibleRuns+1 >= j.route.Attempts {
+	if !j.route.Repeatable() || j.possibleRuns+1 >= j.route.MaxAttempts {
 		return w
 	}
 	service := j.service.Name
--- a/entry/version/follower/duty.go
+++ b/entry/version/follower/duty.go
@@ -73,11 +73,11 @@
 	return errA == nil && errB == nil && bytes.Equal(a, b)
 }
 
-// Due says whether a checkpoint should be written: the last one is a quarter of
+// CheckpointDue says whether a checkpoint should be written: the last one is a quarter of
 // the retention old, or as many records back as a starting VM first looks, or
 // not known. It goes wrong when none is written for a whole retention: VMs that
 // start then find no configuration and are not ready.
-func (f *Follower) Due(now time.Time) bool {
+func (f *Follower) CheckpointDue(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state.Load()
@@ -89,10 +89,10 @@
 	return (old || far) && !now.Before(f.duty.next)
 }
 
-// Write appends a checkpoint of the state in force. An error of the class
+// WriteCheckpoint appends a checkpoint of the state in force. An error of the class
 // appender.ErrUnknown says that it may have landed; doubled checkpoints do no
 // harm.
-func (f *Follower) Write(ctx context.Context) error {
+func (f *Follower) WriteCheckpoint(ctx context.Context) error {
 	data, err := f.Snapshot()
 	if err != nil {
 		return err
--- a/entry/version/follower/follower.go
+++ b/entry/version/follower/follower.go
@@ -134,7 +134,7 @@
 	defer stop()
 	for ctx.Err() == nil {
 		began := f.ticker.Now()
-		err := f.Step(ctx)
+		err := f.Poll(ctx)
 		if err == nil && !f.hasty(began) {
 			continue
 		}
@@ -154,9 +154,9 @@
 	return f.empty && f.ticker.Now().Sub(began) < pause
 }
 
-// Step reads once and folds what came. An error says that the log could not be
+// Poll reads once and folds what came. An error says that the log could not be
 // read, or ends before what has been read of it; the state stays in force.
-func (f *Follower) Step(ctx context.Context) error {
+func (f *Follower) Poll(ctx context.Context) error {
 	from := f.from()
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/entry/version/follower/follower_test.go
+++ b/entry/version/follower/follower_test.go
@@ -85,7 +85,7 @@
 // read has a VM read until it is at the end, or can't get there.
 func (w *world) read(f *follower.Follower) error {
 	for {
-		err := f.Step(context.Background())
+		err := f.Poll(context.Background())
 		if err != nil || w.log.given == 0 {
 			return err
 		}
@@ -159,11 +159,11 @@
 	}
 	f := w.follow()
 	f.Subscribe(func(s folder.State) { assert.Equal(t, s.Version, uint64(40)) })
-	assert.NilError(t, f.Step(context.Background()))
+	assert.NilError(t, f.Poll(context.Background()))
 	assert.Assert(t, f.State() == nil)
 	ready(t, f, false, "the log is being read, so far up to 16")
-	assert.Assert(t, f.Behind(17, w.clock), "a peer's state is sooner taken up")
-	assert.Assert(t, !f.Behind(16, w.clock))
+	assert.Assert(t, f.ShouldFetch(17, w.clock), "a peer's state is sooner taken up")
+	assert.Assert(t, !f.ShouldFetch(16, w.clock))
 	assert.NilError(t, w.read(f))
 	ready(t, f, true, "")
 }
@@ -178,14 +178,14 @@
 	f := w.follow()
 	assert.ErrorContains(t, w.read(f), "refused")
 	ready(t, f, false, "no peer has one, and the log can't be read")
-	assert.Assert(t, f.Behind(peer.State().Read, w.clock))
+	assert.Assert(t, f.ShouldFetch(peer.State().Read, w.clock))
 	snapshot, err := peer.Snapshot()
 	assert.NilError(t, err)
-	adopted, err := f.Adopt(snapshot)
+	adopted, err := f.ApplySnapshot(snapshot)
 	assert.NilError(t, err)
 	assert.Assert(t, adopted)
 	ready(t, f, true, "version 1 stays in force: the log can't be read")
-	assert.Assert(t, !f.Due(w.clock))
+	assert.Assert(t, !f.CheckpointDue(w.clock))
 	w.log.down = nil
 	w.out("a")
 	assert.NilError(t, w.read(f))
@@ -201,9 +201,9 @@
 	w.publish(1)
 	w.out("a")
 	assert.NilError(t, w.read(peer))
-	assert.Assert(t, !slow.Behind(peer.State().Read, w.clock), "peers differ by a moment at any change")
+	assert.Assert(t, !slow.ShouldFetch(peer.State().Read, w.clock), "peers differ by a moment at any change")
 	w.clock = w.clock.Add(time.Second)
-	assert.Assert(t, slow.Behind(peer.State().Read, w.clock))
+	assert.Assert(t, slow.ShouldFetch(peer.State().Read, w.clock))
 	old, err := slow.Snapshot()
 	assert.NilError(t, err)
 	snapshot, err := peer.Snapshot()
@@ -211,13 +211,13 @@
 	// The peer's state comes while the answer to a read is under way, which
 	// then brings records that the state has already.
 	w.log.during = func() {
-		_, err := slow.Adopt(snapshot)
+		_, err := slow.ApplySnapshot(snapshot)
 		assert.NilError(t, err)
 	}
-	assert.NilError(t, slow.Step(context.Background()))
+	assert.NilError(t, slow.Poll(context.Background()))
 	w.log.during = nil
 	assert.DeepEqual(t, slow.State(), peer.State())
-	adopted, err := slow.Adopt(old)
+	adopted, err := slow.ApplySnapshot(old)
 	assert.NilError(t, err)
 	assert.Assert(t, !adopted, "a late message took the VM back")
 	assert.NilError(t, w.read(slow))
@@ -237,10 +237,10 @@
 		assert.NilError(t, w.read(peer))
 		snapshot, err := peer.Snapshot()
 		assert.NilError(t, err)
-		_, err = slow.Adopt(snapshot)
+		_, err = slow.ApplySnapshot(snapshot)
 		assert.NilError(t, err)
 	}
-	assert.NilError(t, slow.Step(context.Background()))
+	assert.NilError(t, slow.Poll(context.Background()))
 	ready(t, slow, true, "")
 	assert.DeepEqual(t, slow.State(), peer.State())
 }
@@ -255,12 +255,12 @@
 	for _, c := range []any{bad, 5, "x", recorder.Checkpoint{Version: 9}} {
 		data, err := recorder.Wrap(recorder.KindCheckpoint, c)
 		assert.NilError(t, err)
-		_, err = f.Adopt(data)
+		_, err = f.ApplySnapshot(data)
 		assert.Assert(t, err != nil, "%v", c)
-		_, err = f.Adopt(data[:len(data)/2])
+		_, err = f.ApplySnapshot(data[:len(data)/2])
 		assert.Assert(t, err != nil, "%v", c)
 	}
-	_, err := f.Adopt(make([]byte, follower.MaxSnapshot+1))
+	_, err := f.ApplySnapshot(make([]byte, follower.MaxSnapshotBytes+1))
 	assert.ErrorContains(t, err, "at most")
 	assert.Assert(t, f.State() == nil)
 }
@@ -272,46 +272,46 @@
 	w.publish(0)
 	w.out("a")
 	writer := w.started()
-	assert.Assert(t, writer.Due(w.clock))
-	assert.NilError(t, writer.Write(context.Background()))
-	assert.Assert(t, !writer.Due(w.clock))
+	assert.Assert(t, writer.CheckpointDue(w.clock))
+	assert.NilError(t, writer.WriteCheckpoint(context.Background()))
+	assert.Assert(t, !writer.CheckpointDue(w.clock))
 	assert.NilError(t, w.read(writer))
 	w.log.start = 3
 	assert.DeepEqual(t, w.started().State(), writer.State())
 
 	w.clock = w.clock.Add(15*time.Minute - time.Second)
-	assert.Assert(t, !writer.Due(w.clock))
+	assert.Assert(t, !writer.CheckpointDue(w.clock))
 	w.clock = w.clock.Add(time.Second)
-	assert.Assert(t, writer.Due(w.clock), "a quarter of the retention has gone")
+	assert.Assert(t, writer.CheckpointDue(w.clock), "a quarter of the retention has gone")
 	w.log.lose = true
-	assert.Assert(t, appender.ErrUnknown.Has(writer.Write(context.Background())))
+	assert.Assert(t, appender.ErrUnknown.Has(writer.WriteCheckpoint(context.Background())))
 	w.log.lose = false
-	assert.Assert(t, !writer.Due(w.clock), "it may have landed")
+	assert.Assert(t, !writer.CheckpointDue(w.clock), "it may have landed")
 	assert.NilError(t, w.read(writer))
 	w.clock = w.clock.Add(5 * time.Minute)
-	assert.Assert(t, !writer.Due(w.clock), "it has landed")
+	assert.Assert(t, !writer.CheckpointDue(w.clock), "it has landed")
 
 	w.clock = w.clock.Add(10 * time.Minute)
 	w.log.down = errDown
-	assert.Assert(t, appender.ErrRefused.Has(writer.Write(context.Background())))
-	assert.Assert(t, !writer.Due(w.clock))
+	assert.Assert(t, appender.ErrRefused.Has(writer.WriteCheckpoint(context.Background())))
+	assert.Assert(t, !writer.CheckpointDue(w.clock))
 	w.clock = w.clock.Add(2 * time.Second)
-	assert.Assert(t, writer.Due(w.clock), "it has not landed")
+	assert.Assert(t, writer.CheckpointDue(w.clock), "it has not landed")
 }
 
 func TestManyChangesMakeACheckpointDue(t *testing.T) {
 	w := newWorld(t)
 	w.publish(0)
 	f := w.started()
-	assert.NilError(t, f.Write(context.Background()))
+	assert.NilError(t, f.WriteCheckpoint(context.Background()))
 	assert.NilError(t, w.read(f))
 	w.clock = w.clock.Add(5 * time.Minute)
 	for range folder.Window {
-		assert.Assert(t, !f.Due(w.clock))
+		assert.Assert(t, !f.CheckpointDue(w.clock))
 		w.publish(f.State().Version)
 		assert.NilError(t, w.read(f))
 	}
-	assert.Assert(t, f.Due(w.clock))
+	assert.Assert(t, f.CheckpointDue(w.clock))
 }
 
 // A VM was frozen for longer than the log keeps records. What it holds stays in
@@ -327,8 +327,8 @@
 	assert.NilError(t, w.read(frozen))
 	assert.Equal(t, frozen.State().Version, uint64(1))
 	ready(t, frozen, true, "the log dropped records after 1 unread")
-	assert.Assert(t, !frozen.Due(w.clock), "its checkpoint would be an old one")
-	assert.NilError(t, peer.Write(context.Background()))
+	assert.Assert(t, !frozen.CheckpointDue(w.clock), "its checkpoint would be an old one")
+	assert.NilError(t, peer.WriteCheckpoint(context.Background()))
 	w.out("b")
 	assert.NilError(t, w.read(frozen))
 	assert.NilError(t, w.read(peer))
@@ -368,7 +368,7 @@
 	w.publish(0)
 	assert.ErrorContains(t, w.read(f), "it ends at 2, and 2 has been read")
 	ready(t, f, true, "it ends at 2, and 2")
-	assert.Assert(t, !f.Due(w.clock), "its records stand for other offsets")
+	assert.Assert(t, !f.CheckpointDue(w.clock), "its records stand for other offsets")
 	assert.DeepEqual(t, f.State(), before)
 }
 
@@ -385,7 +385,7 @@
 	assert.NilError(t, err)
 	assert.NilError(t, w.read(f))
 	assert.Equal(t, f.State().Version, uint64(1))
-	assert.Assert(t, f.Due(w.clock), "a false checkpoint was taken for a good one")
+	assert.Assert(t, f.CheckpointDue(w.clock), "a false checkpoint was taken for a good one")
 	w.out("a")
 	assert.NilError(t, w.read(f))
 	assert.Assert(t, f.State().Out(recorder.TargetZone, "a"))
--- a/entry/version/follower/hours_test.go
+++ b/entry/version/follower/hours_test.go
@@ -55,9 +55,9 @@
 		assert.Equal(t, f.State().Version, h.version)
 		assert.Equal(t, f.State().Out(recorder.TargetZone, "a"), h.out)
 	}
-	if f.Due(h.clock) {
+	if f.CheckpointDue(h.clock) {
 		h.log.lose = rapid.IntRange(0, 3).Draw(t, "lost") == 0
-		_ = f.Write(context.Background()) // its failures are what is played
+		_ = f.WriteCheckpoint(context.Background()) // its failures are what is played
 		h.log.lose = false
 	}
 }
--- a/entry/version/follower/peer.go
+++ b/entry/version/follower/peer.go
@@ -7,16 +7,16 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// MaxSnapshot is the longest snapshot in bytes. It is a record's length, since
+// MaxSnapshotBytes is the longest snapshot in bytes. It is a record's length, since
 // a snapshot is a checkpoint that goes to a peer.
-const MaxSnapshot = 1 << 20
+const MaxSnapshotBytes = 1 << 20
 
-// Behind says whether a peer's state should be asked for: the peer has read
+// ShouldFetch says whether a peer's state should be asked for: the peer has read
 // further, and for a second the log has brought this VM nothing. Heartbeats
 // carry State().Read for it. Asked at once, every change would be fetched from
 // a peer as well as from the log. A VM that starts does ask at once: to read an
 // hour of large manifests takes longer than to take up the last of them.
-func (f *Follower) Behind(read uint64, now time.Time) bool {
+func (f *Follower) ShouldFetch(read uint64, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.reader.State()
@@ -42,13 +42,13 @@
 	return data, Error.Wrap(err)
 }
 
-// Adopt takes a peer's snapshot where it is ahead of the state in force, and
+// ApplySnapshot takes a peer's snapshot where it is ahead of the state in force, and
 // says whether it did. The manifest in it is read again, so that a broken peer
 // can't put in force what the log would not have. A snapshot that is not ahead
 // changes nothing: a late or doubled message must not take a VM back.
-func (f *Follower) Adopt(data []byte) (bool, error) {
-	if len(data) > MaxSnapshot {
-		return false, Error.New("a snapshot of %d bytes, at most %d", len(data), MaxSnapshot)
+func (f *Follower) ApplySnapshot(data []byte) (bool, error) {
+	if len(data) > MaxSnapshotBytes {
+		return false, Error.New("a snapshot of %d bytes, at most %d", len(data), MaxSnapshotBytes)
 	}
 	c, err := recorder.Unwrap[recorder.Checkpoint](data)
 	if err != nil {
--- a/entry/version/matcher/matcher.go
+++ b/entry/version/matcher/matcher.go
@@ -48,20 +48,20 @@
 	// Timeout is the longest that a request may be without its final answer.
 	Timeout time.Duration
 	// Objective is the time to the answer, or to a stream's first event, that
-	// callers find good, and Gap the same for the pause between events.
-	Objective, Gap time.Duration
-	// Patience is how long callers wait for a stream's next event before they
+	// callers find good, and GapTarget the same for the pause between events.
+	Objective, GapTarget time.Duration
+	// CallerTimeout is how long callers wait for a stream's next event before they
 	// leave; 0 where that is not known.
-	Patience time.Duration
+	CallerTimeout time.Duration
 	// Priority is the rank of the requests, 0 being the first.
 	Priority int
-	// Attempts is the most upstreams that one request may be sent to.
-	Attempts int
-	Split    []Weight
+	// MaxAttempts is the most upstreams that one request may be sent to.
+	MaxAttempts int
+	Split       []WeightedService
 }
 
-// A Weight is a service's part of a route's requests.
-type Weight struct {
+// A WeightedService is a service's part of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -70,11 +70,11 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// Connections is the most that one upstream accepts from all VMs together.
-	Connections int
-	// ColdRate is the requests a second that an upstream in cold start bears
+	// MaxConnections is the most that one upstream accepts from all VMs together.
+	MaxConnections int
+	// ColdStartRate is the requests a second that an upstream in cold start bears
 	// from all VMs together; 0 where it bears any.
-	ColdRate float64
+	ColdStartRate float64
 	// Engine holds the figures of model engines; nil for plain services.
 	Engine *Engine
 }
@@ -82,35 +82,35 @@
 // An Engine holds the figures of one kind of model engine. Times are in
 // milliseconds, as engines are far faster than a second in all they do.
 type Engine struct {
-	// Slots is how many requests generate at once, Memory the KV cache in
+	// Slots is how many requests generate at once, KVCapacity the KV cache in
 	// tokens.
-	Slots, Memory int
-	// Stride is how many token steps one pass makes, Chunk the most prompt
+	Slots, KVCapacity int
+	// StepsPerPass is how many token steps one pass makes, PrefillChunk the most prompt
 	// tokens read in each step.
-	Stride, Chunk int
-	// Step, PerStream and PerContext are the time of one token step: Step,
-	// and for each stream PerStream and PerContext per 1,000 tokens.
-	Step, PerStream, PerContext float64
-	// ReadRate is the prompt tokens read in a millisecond, and Pairs the time
+	StepsPerPass, PrefillChunk int
+	// StepTime, StepTimePerStream and StepTimePerContext are the time of one token step: StepTime,
+	// and for each stream StepTimePerStream and StepTimePerContext per 1,000 tokens.
+	StepTime, StepTimePerStream, StepTimePerContext float64
+	// PrefillRate is the prompt tokens read in a millisecond, and AttentionTime the time
 	// for a million pairs of a token and an earlier one.
-	ReadRate, Pairs float64
-	// Hop is what each step of a prompt held by several engines takes longer.
-	Hop float64
+	PrefillRate, AttentionTime float64
+	// HopTime is what each step of a prompt held by several engines takes longer.
+	HopTime float64
 }
 
 // A Team is a customer with its keys.
 type Team struct {
 	Name     string
-	Keys     []string
+	APIKeys  []string
 	Priority int
-	// Ranked says that Priority goes before the route's.
-	Ranked bool
+	// HasPriority says that Priority goes before the route's.
+	HasPriority bool
 }
 
 // Limits bound what callers may send. Zero means no limit.
 type Limits struct {
-	Header, Body         int64
-	HeaderTime, IdleTime time.Duration
+	MaxHeaderBytes, MaxBodyBytes int64
+	HeaderTimeout, IdleTimeout   time.Duration
 }
 
 // A Table is a Config indexed for requests. It does not change.
@@ -140,7 +140,7 @@
 		t.services[c.Services[i].Name] = &c.Services[i]
 	}
 	for i := range c.Teams {
-		for _, key := range c.Teams[i].Keys {
+		for _, key := range c.Teams[i].APIKeys {
 			t.keys[key] = &c.Teams[i]
 		}
 	}
@@ -175,16 +175,16 @@
 	return m, ok
 }
 
-// Guarded says that requests need a key, but on anonymous routes.
-func (t *Table) Guarded() bool { return len(t.Teams) > 0 }
+// RequiresKey says that requests need a key, but on anonymous routes.
+func (t *Table) RequiresKey() bool { return len(t.Teams) > 0 }
 
 // Repeatable says that requests of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || (r.Kind == Stream && r.Resumable)
 }
 
-// Pick draws one of the route's services by weight.
-func (r *Route) Pick() (string, bool) {
+// PickService draws one of the route's services by weight.
+func (r *Route) PickService() (string, bool) {
 	sum := 0.0
 	for _, w := range r.Split {
 		sum += w.Weight
--- a/entry/version/matcher/matcher_test.go
+++ b/entry/version/matcher/matcher_test.go
@@ -12,13 +12,13 @@
 	return matcher.New(matcher.Config{
 		Version: 3,
 		Routes: []matcher.Route{
-			{Name: "all", Host: "a.example", Prefix: "/", Split: []matcher.Weight{{Service: "one", Weight: 1}}},
-			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Split: []matcher.Weight{{Service: "two", Weight: 1}}},
+			{Name: "all", Host: "a.example", Prefix: "/", Split: []matcher.WeightedService{{Service: "one", Weight: 1}}},
+			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Split: []matcher.WeightedService{{Service: "two", Weight: 1}}},
 			{Name: "shallow", Host: "A.example", Prefix: "/x/"},
 			{Name: "other", Host: "b.example", Prefix: "/x/"},
 		},
 		Services: []matcher.Service{{Name: "one"}, {Name: "two"}},
-		Teams:    []matcher.Team{{Name: "t", Keys: []string{"k1", "k2"}}},
+		Teams:    []matcher.Team{{Name: "t", APIKeys: []string{"k1", "k2"}}},
 	})
 }
 
@@ -55,7 +55,7 @@
 	assert.Assert(t, !ok)
 	_, ok = table().Team("")
 	assert.Assert(t, !ok)
-	assert.Assert(t, table().Guarded())
+	assert.Assert(t, table().RequiresKey())
 }
 
 func TestRepeatableFollowsFromTheKind(t *testing.T) {
@@ -75,16 +75,16 @@
 }
 
 func TestPickFollowsWeights(t *testing.T) {
-	r := matcher.Route{Split: []matcher.Weight{{Service: "one", Weight: 90}, {Service: "two", Weight: 10}, {Service: "none"}}}
+	r := matcher.Route{Split: []matcher.WeightedService{{Service: "one", Weight: 90}, {Service: "two", Weight: 10}, {Service: "none"}}}
 	counts := map[string]int{}
 	const draws = 20_000
 	for range draws {
-		name, ok := r.Pick()
+		name, ok := r.PickService()
 		assert.Assert(t, ok)
 		counts[name]++
 	}
 	assert.Equal(t, counts["none"], 0)
 	assert.Assert(t, counts["two"] > draws*8/100 && counts["two"] < draws*12/100, "%v", counts)
-	_, ok := (&matcher.Route{}).Pick()
+	_, ok := (&matcher.Route{}).PickService()
 	assert.Assert(t, !ok)
 }
--- a/entry/version/reloader/reloader.go
+++ b/entry/version/reloader/reloader.go
@@ -22,9 +22,9 @@
 // Error is the class of certificates that can't be used.
 var Error = errs.Class("certificates")
 
-// Every is how often the files are looked at. A certificate is renewed days
+// PollInterval is how often the files are looked at. A certificate is renewed days
 // before it ends, so that this is soon enough.
-const Every = 10 * time.Second
+const PollInterval = 10 * time.Second
 
 // Files are the PEM files of one side.
 type Files struct {
@@ -76,7 +76,7 @@
 	if err := r.use(data); err != nil {
 		return nil, err
 	}
-	r.stop = t.Subscribe(Every, func(time.Time) { r.look() })
+	r.stop = t.Subscribe(PollInterval, func(time.Time) { r.look() })
 	return r, nil
 }
 
@@ -165,9 +165,9 @@
 	return nil
 }
 
-// Server is the configuration to listen with. With an authority, callers
+// ServerConfig is the configuration to listen with. With an authority, callers
 // without a certificate that it has signed are turned away.
-func (r *Reloader) Server() *tls.Config {
+func (r *Reloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: r.protocols(), // net/http looks for them here
@@ -201,12 +201,12 @@
 	return c
 }
 
-// Client is the configuration to dial other VMs with. With an authority, the
+// ClientConfig is the configuration to dial other VMs with. With an authority, the
 // other end must show a certificate that it has signed; its name is not
 // compared, since VMs are replaced under new addresses at any time and all of
 // one fleet are equal. Without one, the system's authorities and the name in
 // the certificate decide.
-func (r *Reloader) Client() *tls.Config {
+func (r *Reloader) ClientConfig() *tls.Config {
 	c := &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
--- a/entry/version/reloader/reloader_test.go
+++ b/entry/version/reloader/reloader_test.go
@@ -72,7 +72,7 @@
 
 // look lets the time pass until the files are looked at.
 func (s *side) look() {
-	s.clock = s.clock.Add(reloader.Every)
+	s.clock = s.clock.Add(reloader.PollInterval)
 	s.ticker.Tick()
 }
 
@@ -138,15 +138,15 @@
 func TestRenewedCertificateNeedsNoRestart(t *testing.T) {
 	a, folder := newAuthority(t), t.TempDir()
 	s := newSide(t, a.write(folder, 1, time.Hour))
-	address := listen(t, s.Server())
-	standing, n, err := dial(address, s.Client())
+	address := listen(t, s.ServerConfig())
+	standing, n, err := dial(address, s.ClientConfig())
 	assert.NilError(t, err)
 	defer standing.Close()
 	assert.Equal(t, n, int64(1))
 	a.write(folder, 2, time.Hour)
-	assert.Equal(t, serial(t, address, s.Client()), int64(1))
+	assert.Equal(t, serial(t, address, s.ClientConfig()), int64(1))
 	s.look()
-	assert.Equal(t, serial(t, address, s.Client()), int64(2))
+	assert.Equal(t, serial(t, address, s.ClientConfig()), int64(2))
 	assert.NilError(t, pass(standing), "a standing connection was cut")
 	s.look()
 	assert.Equal(t, s.count("reloads"), int64(1))
@@ -168,16 +168,16 @@
 			folder := t.TempDir()
 			f := a.write(folder, 1, time.Hour)
 			s := newSide(t, f)
-			address := listen(t, s.Server())
+			address := listen(t, s.ServerConfig())
 			spoil(f)
 			s.look()
-			assert.Equal(t, serial(t, address, s.Client()), int64(1))
+			assert.Equal(t, serial(t, address, s.ClientConfig()), int64(1))
 			assert.Equal(t, s.count("broken"), int64(1))
 			_, err := reloader.New("new", f, s.ticker, s.registry, zerolog.Nop())
 			assert.Assert(t, reloader.Error.Has(err), "a VM must not start with it")
 			a.write(folder, 3, time.Hour)
 			s.look()
-			assert.Equal(t, serial(t, address, s.Client()), int64(3))
+			assert.Equal(t, serial(t, address, s.ClientConfig()), int64(3))
 		})
 	}
 }
@@ -194,35 +194,35 @@
 	a := newAuthority(t)
 	s := newSide(t, a.write(t.TempDir(), 1, time.Hour))
 	stranger := newSide(t, newAuthority(t).write(t.TempDir(), 2, time.Hour))
-	address := listen(t, s.Server())
+	address := listen(t, s.ServerConfig())
 
 	_, _, err := dial(address, &tls.Config{InsecureSkipVerify: true})
 	assert.Assert(t, err != nil, "no certificate")
-	config := stranger.Client()
+	config := stranger.ClientConfig()
 	config.VerifyConnection = nil
 	_, _, err = dial(address, config)
 	assert.Assert(t, err != nil, "a certificate of another authority")
-	config = stranger.Server()
+	config = stranger.ServerConfig()
 	config.GetConfigForClient = nil
 	config.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-		return stranger.Client().GetClientCertificate(nil)
+		return stranger.ClientConfig().GetClientCertificate(nil)
 	}
-	_, _, err = dial(listen(t, config), s.Client())
+	_, _, err = dial(listen(t, config), s.ClientConfig())
 	assert.Assert(t, reloader.Error.Has(err), "a VM of another authority: %v", err)
 }
 
 func TestAuthorityIsReplaced(t *testing.T) {
 	folder := t.TempDir()
 	s := newSide(t, newAuthority(t).write(folder, 1, time.Hour))
-	address := listen(t, s.Server())
+	address := listen(t, s.ServerConfig())
 	before := newSide(t, files(folder))
-	assert.Equal(t, serial(t, address, before.Client()), int64(1))
+	assert.Equal(t, serial(t, address, before.ClientConfig()), int64(1))
 	newAuthority(t).write(folder, 2, time.Hour)
 	s.look()
-	_, _, err := dial(address, before.Client())
+	_, _, err := dial(address, before.ClientConfig())
 	assert.Assert(t, err != nil)
 	before.look()
-	assert.Equal(t, serial(t, address, before.Client()), int64(2))
+	assert.Equal(t, serial(t, address, before.ClientConfig()), int64(2))
 }
 
 func TestCallersNeedNoCertificate(t *testing.T) {
@@ -233,7 +233,7 @@
 		io.WriteString(w, r.Proto)
 	}))
 	listener := server.Listener
-	server.Config.TLSConfig = s.Server()
+	server.Config.TLSConfig = s.ServerConfig()
 	server.Listener = tls.NewListener(listener, server.Config.TLSConfig)
 	server.Start()
 	defer server.Close()
--- a/entry/version/viewer/limit.go
+++ b/entry/version/viewer/limit.go
@@ -8,8 +8,8 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrLimit is a time limit that cannot be granted.
-var ErrLimit = errs.Class("time limit")
+// ErrTimeLimit is a time limit that cannot be granted.
+var ErrTimeLimit = errs.Class("time limit")
 
 // parseLimit reads seconds, with a fraction allowed. A limit out of bounds is
 // refused, not moved to the bound: a caller who asks for 200 ms and gets 5 s
@@ -17,10 +17,10 @@
 func parseLimit(text string, least, most time.Duration) (time.Duration, error) {
 	s, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(s) || math.IsInf(s, 0) {
-		return 0, ErrLimit.New("%.40q is not a number of seconds", text)
+		return 0, ErrTimeLimit.New("%.40q is not a number of seconds", text)
 	}
 	if s < least.Seconds() || s > most.Seconds() {
-		return 0, ErrLimit.New("%.40s s is not between %g s and %g s", text, least.Seconds(), most.Seconds())
+		return 0, ErrTimeLimit.New("%.40s s is not between %g s and %g s", text, least.Seconds(), most.Seconds())
 	}
 	return time.Duration(s * float64(time.Second)), nil
 }
--- a/entry/version/viewer/viewer.go
+++ b/entry/version/viewer/viewer.go
@@ -27,8 +27,8 @@
 type Upstream struct {
 	Name string
 	checker.Upstream
-	// Out says that operators have taken it, or its zone, out of service.
-	Out bool
+	// OutOfService says that operators have taken it, or its zone, out of service.
+	OutOfService bool
 }
 
 // A Pool is the upstreams that serve one model or one service.
@@ -99,7 +99,7 @@
 			p = v.services[u.Service]
 		}
 		if p != nil {
-			p.Upstreams = append(p.Upstreams, Upstream{Name: name, Upstream: u, Out: out})
+			p.Upstreams = append(p.Upstreams, Upstream{Name: name, Upstream: u, OutOfService: out})
 		}
 	}
 	for _, p := range v.Pools() {
@@ -193,8 +193,8 @@
 	return us
 }
 
-// Out tells whether operators have taken a VM, zone or upstream out.
-func (v *View) Out(kind, name string) bool {
+// OutOfService tells whether operators have taken a VM, zone or upstream out.
+func (v *View) OutOfService(kind, name string) bool {
 	return v.out(kind, name)
 }
 
@@ -223,9 +223,9 @@
 	return strings.HasPrefix(call, strings.TrimSuffix(prefix, "/")+"/")
 }
 
-// Limit reads a caller's Request-Timeout within the bounds of its work; an
+// ParseTimeLimit reads a caller's Request-Timeout within the bounds of its work; an
 // empty text asks for the default.
-func Limit(text string, limit, least, most checker.Duration) (time.Duration, error) {
+func ParseTimeLimit(text string, limit, least, most checker.Duration) (time.Duration, error) {
 	if text == "" {
 		return time.Duration(limit), nil
 	}
