--- a/entry/process/canceller/canceller_test.go
+++ b/entry/process/canceller/canceller_test.go
@@ -133,9 +133,9 @@
 
 type owner struct{}
 
-func (owner) Own(vm string, boot uint64) bool  { return vm == "vm1" && boot == 5 }
-func (owner) Known(id string) bool             { return id == "known" }
-func (owner) Gone(vm string, boot uint64) bool { return vm == "vm2" || (vm == "vm1" && boot < 5) }
+func (owner) IsSelf(vm string, boot uint64) bool { return vm == "vm1" && boot == 5 }
+func (owner) InProgress(id string) bool          { return id == "known" }
+func (owner) Gone(vm string, boot uint64) bool   { return vm == "vm2" || (vm == "vm1" && boot < 5) }
 
 // A VM dies in the middle of its streams, or is started anew under its old
 // name. What it left at an engine is ended by another VM; what a VM runs that
--- a/entry/process/canceller/sweep.go
+++ b/entry/process/canceller/sweep.go
@@ -14,10 +14,10 @@
 
 // An Owner tells whose streams an engine has.
 type Owner interface {
-	// Own tells whether a process is this one.
-	Own(vm string, boot uint64) bool
-	// Known tells whether a stream of this process is in progress.
-	Known(id string) bool
+	// IsSelf tells whether a process is this one.
+	IsSelf(vm string, boot uint64) bool
+	// InProgress tells whether a stream of this process is in progress.
+	InProgress(id string) bool
 	// Gone tells that a process has certainly been stopped.
 	Gone(vm string, boot uint64) bool
 }
@@ -43,7 +43,7 @@
 		return err
 	}
 	for _, s := range l.Streams {
-		lost := o.Own(s.VM, s.Boot) && s.Age >= young && !o.Known(s.ID)
+		lost := o.IsSelf(s.VM, s.Boot) && s.Age >= young && !o.InProgress(s.ID)
 		if lost || o.Gone(s.VM, s.Boot) {
 			c.swept.Inc(1)
 			c.Cancel(address, s.ID, nil)
--- a/entry/process/dispatcher/affinity.go
+++ b/entry/process/dispatcher/affinity.go
@@ -89,7 +89,7 @@
 		Engines:     len(names),
 	}
 	a.offered, a.offeredFrom = splitter.Load{}, now
-	a.long = splitter.Long(names, a.splitter.Step(now, l))
+	a.long = splitter.LongPromptEngines(names, a.splitter.Update(now, l))
 }
 
 // home tells whether an upstream is this VM's home.
--- a/entry/process/dispatcher/pool.go
+++ b/entry/process/dispatcher/pool.go
@@ -52,7 +52,7 @@
 	sent      map[string][]sending
 	unread    map[string]*atomic.Int64
 	hold      hold
-	indexer   *indexer.Indexer
+	indexer   *indexer.PrefixIndex
 	ranker    *ranker.Ranker
 	affinity  affinity
 	scratch   []router.Candidate
--- a/entry/process/dispatcher/reading.go
+++ b/entry/process/dispatcher/reading.go
@@ -58,7 +58,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if k.PromptTokens >= hintTokens {
-		p.indexer.Note(p.dispatcher.now(), k.PrefixHash, part.Upstream.Name, part.Boot)
+		p.indexer.Add(p.dispatcher.now(), k.PrefixHash, part.Upstream.Name, part.Boot)
 	}
 }
 
--- a/entry/process/drainer/drainer.go
+++ b/entry/process/drainer/drainer.go
@@ -69,15 +69,15 @@
 	}
 }
 
-// Shut refuses new requests from now on, with a reason.
-func (d *Drainer) Shut(reason string) {
+// StopAccepting refuses new requests from now on, with a reason.
+func (d *Drainer) StopAccepting(reason string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.shut = reason
 }
 
-// Open takes new requests again.
-func (d *Drainer) Open() { d.Shut("") }
+// Resume takes new requests again.
+func (d *Drainer) Resume() { d.StopAccepting("") }
 
 // Running is how many requests are in progress.
 func (d *Drainer) Running() int {
--- a/entry/process/drainer/drainer_test.go
+++ b/entry/process/drainer/drainer_test.go
@@ -45,7 +45,7 @@
 	g := newGate()
 	d := drainer.New(g, 10)
 	first := g.begin(d)
-	d.Shut("it is leaving")
+	d.StopAccepting("it is leaving")
 	late := ask(d)
 	assert.Equal(t, late.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, late.Header().Get("Heathervane-Ran"), "no")
@@ -68,12 +68,12 @@
 	d := drainer.New(g, 10)
 	answers := []<-chan int{g.begin(d)}
 	for range 2 {
-		d.Shut("it is out of service")
+		d.StopAccepting("it is out of service")
 		assert.Equal(t, ask(d).Code, http.StatusServiceUnavailable)
-		d.Open()
+		d.Resume()
 		answers = append(answers, g.begin(d))
 	}
-	d.Shut("it is leaving")
+	d.StopAccepting("it is leaving")
 	assert.Equal(t, d.Running(), len(answers))
 	waited := make(chan error, 1)
 	go func() { waited <- d.Wait(t.Context()) }()
--- a/entry/process/gauger/gauger.go
+++ b/entry/process/gauger/gauger.go
@@ -35,9 +35,9 @@
 	memory = 10 * time.Minute
 )
 
-// A Gauger keeps the speeds of a VM's upstreams. It is not safe for use by
+// A SpeedEstimator keeps the speeds of a VM's upstreams. It is not safe for use by
 // several goroutines.
-type Gauger struct {
+type SpeedEstimator struct {
 	speeds map[string]speed
 }
 
@@ -47,15 +47,15 @@
 }
 
 // New returns a Gauger that knows no upstream.
-func New() *Gauger {
-	return &Gauger{speeds: map[string]speed{}}
+func New() *SpeedEstimator {
+	return &SpeedEstimator{speeds: map[string]speed{}}
 }
 
 // Observe takes an answer: the upstream took that long over so many tokens,
 // and had promised that many a second. For a first token, count all the prompt
 // tokens that stood before it in the upstream; for later tokens, those of one
 // stream against the decode rate.
-func (g *Gauger) Observe(now time.Time, name string, tokens int, took time.Duration, promised float64) {
+func (g *SpeedEstimator) Observe(now time.Time, name string, tokens int, took time.Duration, promised float64) {
 	if tokens <= 0 || promised <= 0 {
 		return
 	}
@@ -68,10 +68,10 @@
 	g.speeds[name] = speed{value: value + weight*(ratio-value), at: now}
 }
 
-// Waiting takes an answer that has not come: of the tokens asked for nothing
+// ObservePending takes an answer that has not come: of the tokens asked for nothing
 // came for that long. An engine that answers nothing would otherwise count as
 // fast until its first answer.
-func (g *Gauger) Waiting(now time.Time, name string, tokens int, since time.Duration, promised float64) {
+func (g *SpeedEstimator) ObservePending(now time.Time, name string, tokens int, since time.Duration, promised float64) {
 	if tokens <= 0 || promised <= 0 {
 		return
 	}
@@ -82,7 +82,7 @@
 
 // Speed is the speed at a time by the last measure: 1 as promised, 0.1 ten times
 // slower.
-func (g *Gauger) Speed(now time.Time, name string) float64 {
+func (g *SpeedEstimator) Speed(now time.Time, name string) float64 {
 	s, ok := g.speeds[name]
 	if !ok {
 		return 1
@@ -92,10 +92,10 @@
 }
 
 // Forget drops an upstream that has gone.
-func (g *Gauger) Forget(name string) { delete(g.speeds, name) }
+func (g *SpeedEstimator) Forget(name string) { delete(g.speeds, name) }
 
-// Sweep drops what was last measured too long ago to say anything.
-func (g *Gauger) Sweep(now time.Time) {
+// RemoveStale drops what was last measured too long ago to say anything.
+func (g *SpeedEstimator) RemoveStale(now time.Time) {
 	for name, s := range g.speeds {
 		if now.Sub(s.at) > memory {
 			delete(g.speeds, name)
--- a/entry/process/gauger/gauger_test.go
+++ b/entry/process/gauger/gauger_test.go
@@ -17,13 +17,13 @@
 )
 
 func TestSpeed(t *testing.T) {
-	type step = func(*gauger.Gauger)
+	type step = func(*gauger.SpeedEstimator)
 	// answer takes a thousand tokens, a second's work.
 	answer := func(took time.Duration) step {
-		return func(g *gauger.Gauger) { g.Observe(epoch, name, 1000, took, rate) }
+		return func(g *gauger.SpeedEstimator) { g.Observe(epoch, name, 1000, took, rate) }
 	}
 	waiting := func(since time.Duration) step {
-		return func(g *gauger.Gauger) { g.Waiting(epoch, name, 1000, since, rate) }
+		return func(g *gauger.SpeedEstimator) { g.ObservePending(epoch, name, 1000, since, rate) }
 	}
 	tests := []struct {
 		name        string
@@ -42,10 +42,10 @@
 		{"waiting never raises", []step{waiting(10 * time.Second), waiting(time.Second)}, 0.1, 0.11},
 		{"one good answer after", []step{waiting(10 * time.Second), answer(time.Second)}, 0.3, 0.4},
 		{"three good answers after", []step{waiting(10 * time.Second), answer(time.Second), answer(time.Second), answer(time.Second)}, 0.5, 0.7},
-		{"nothing promised", []step{func(g *gauger.Gauger) { g.Observe(epoch, name, 1, time.Hour, 0) }}, 1, 1},
-		{"forgotten", []step{waiting(time.Hour), func(g *gauger.Gauger) { g.Forget(name) }}, 1, 1},
-		{"swept", []step{waiting(time.Hour), func(g *gauger.Gauger) { g.Sweep(epoch.Add(time.Hour)) }}, 1, 1},
-		{"not swept yet", []step{waiting(time.Hour), func(g *gauger.Gauger) { g.Sweep(epoch.Add(time.Minute)) }}, 0.01, 0.01},
+		{"nothing promised", []step{func(g *gauger.SpeedEstimator) { g.Observe(epoch, name, 1, time.Hour, 0) }}, 1, 1},
+		{"forgotten", []step{waiting(time.Hour), func(g *gauger.SpeedEstimator) { g.Forget(name) }}, 1, 1},
+		{"swept", []step{waiting(time.Hour), func(g *gauger.SpeedEstimator) { g.RemoveStale(epoch.Add(time.Hour)) }}, 1, 1},
+		{"not swept yet", []step{waiting(time.Hour), func(g *gauger.SpeedEstimator) { g.RemoveStale(epoch.Add(time.Minute)) }}, 0.01, 0.01},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -65,10 +65,10 @@
 // still slow draws a burst.
 func TestUnmeasuredEngineComesBack(t *testing.T) {
 	g := gauger.New()
-	g.Waiting(epoch, name, 1000, time.Hour, rate)
+	g.ObservePending(epoch, name, 1000, time.Hour, rate)
 	assert.Assert(t, g.Speed(epoch.Add(5*time.Second), name) < 0.05)
 	assert.Assert(t, g.Speed(epoch.Add(20*time.Second), name) > 0.1)
 	assert.Equal(t, g.Speed(epoch.Add(time.Minute), name), 1.0)
-	g.Waiting(epoch.Add(time.Minute), name, 1000, 10*time.Second, rate)
+	g.ObservePending(epoch.Add(time.Minute), name, 1000, 10*time.Second, rate)
 	assert.Assert(t, g.Speed(epoch.Add(time.Minute), name) < 0.2, "a new measure counts at once")
 }
--- a/entry/process/indexer/indexer.go
+++ b/entry/process/indexer/indexer.go
@@ -17,8 +17,8 @@
 // ordinary load; an older hint is more often wrong than right.
 const life = 5 * time.Minute
 
-// A Indexer holds a bounded number of hints. It is not safe for concurrent use.
-type Indexer struct {
+// A PrefixIndex holds a bounded number of hints. It is not safe for concurrent use.
+type PrefixIndex struct {
 	most  int
 	order *list.List
 	hints map[key]*list.Element
@@ -36,12 +36,12 @@
 }
 
 // New returns a Indexer of at most so many hints; the oldest goes first.
-func New(most int) *Indexer {
-	return &Indexer{most: most, order: list.New(), hints: make(map[key]*list.Element)}
+func New(most int) *PrefixIndex {
+	return &PrefixIndex{most: most, order: list.New(), hints: make(map[key]*list.Element)}
 }
 
-// Note keeps that an engine has read the beginning of a prompt.
-func (h *Indexer) Note(now time.Time, head uint64, upstream string, boot uint64) {
+// Add keeps that an engine has read the beginning of a prompt.
+func (h *PrefixIndex) Add(now time.Time, head uint64, upstream string, boot uint64) {
 	k := key{head, upstream}
 	if e, ok := h.hints[k]; ok {
 		h.order.Remove(e)
@@ -54,7 +54,7 @@
 
 // Has tells whether an engine probably has the beginning of a prompt. One that
 // has started anew since has nothing.
-func (h *Indexer) Has(now time.Time, head uint64, upstream string, boot uint64) bool {
+func (h *PrefixIndex) Has(now time.Time, head uint64, upstream string, boot uint64) bool {
 	e, ok := h.hints[key{head, upstream}]
 	if !ok {
 		return false
@@ -67,7 +67,7 @@
 	return true
 }
 
-func (h *Indexer) remove(e *list.Element) {
+func (h *PrefixIndex) remove(e *list.Element) {
 	delete(h.hints, e.Value.(hint).key) //nolint:forcetypeassert // as above
 	h.order.Remove(e)
 }
--- a/entry/process/observer/observer.go
+++ b/entry/process/observer/observer.go
@@ -22,7 +22,7 @@
 	now func() time.Time
 
 	mu      sync.Mutex
-	gauger  *gauger.Gauger
+	gauger  *gauger.SpeedEstimator
 	waiting map[string]pendingRequest
 	// lastRun is when this process was last known to be running.
 	lastRun time.Time
@@ -38,7 +38,7 @@
 
 // New returns an Observer for a gauger that is used by nothing else. It passes
 // evidence that an upstream has restarted cold to turned.
-func New(g *gauger.Gauger, now func() time.Time, turned func(upstream string, boot uint64, cause string)) *Observer {
+func New(g *gauger.SpeedEstimator, now func() time.Time, turned func(upstream string, boot uint64, cause string)) *Observer {
 	return &Observer{gauger: g, now: now, waiting: make(map[string]pendingRequest), lastRun: now(), onCold: turned}
 }
 
@@ -94,9 +94,9 @@
 	defer o.mu.Unlock()
 	o.skipPause(now)
 	for _, w := range o.waiting {
-		o.gauger.Waiting(now, w.upstream, w.tokens, now.Sub(w.since), w.rate)
+		o.gauger.ObservePending(now, w.upstream, w.tokens, now.Sub(w.since), w.rate)
 	}
-	o.gauger.Sweep(now)
+	o.gauger.RemoveStale(now)
 }
 
 // skipPause records that this process is running, and excludes the time during which
--- a/entry/process/server/coordination.go
+++ b/entry/process/server/coordination.go
@@ -89,13 +89,13 @@
 	server *Server
 }
 
-// Own tells whether a process is this one.
-func (o owner) Own(vm string, boot uint64) bool {
+// IsSelf tells whether a process is this one.
+func (o owner) IsSelf(vm string, boot uint64) bool {
 	return vm == o.server.settings.ID && boot == o.server.boot
 }
 
-// Known tells whether a stream of this process is in progress.
-func (o owner) Known(id string) bool { return o.server.chatter.InProgress(id) }
+// InProgress tells whether a stream of this process is in progress.
+func (o owner) InProgress(id string) bool { return o.server.chatter.InProgress(id) }
 
 // Gone tells that a process has certainly been stopped.
 func (o owner) Gone(vm string, boot uint64) bool { return o.server.coordinator.Gone(vm, boot) }
--- a/entry/process/server/leave.go
+++ b/entry/process/server/leave.go
@@ -43,7 +43,7 @@
 		}
 	}()
 	time.Sleep(settle)
-	v.drainer.Shut("it is leaving")
+	v.drainer.StopAccepting("it is leaving")
 	limit := time.Duration(v.settings.Limits.Drain)
 	if !wait(limit, v.drainer.Wait) {
 		v.log.Warn().Int("running", v.drainer.Running()).Msg("the drain limit cuts requests")
@@ -78,7 +78,7 @@
 		switch out := v.isOut(); {
 		case !out && v.out.shut && !v.leaving.Load():
 			v.out = outs{}
-			v.drainer.Open()
+			v.drainer.Resume()
 			v.log.Info().Msg("back in service")
 		case !out:
 			v.out = outs{}
@@ -87,7 +87,7 @@
 			v.log.Info().Msg("taken out of service")
 		case !v.out.shut && now.Sub(v.out.since) >= outGrace:
 			v.out.shut = true
-			v.drainer.Shut("it is out of service")
+			v.drainer.StopAccepting("it is out of service")
 		}
 	})
 }
--- a/entry/process/server/server.go
+++ b/entry/process/server/server.go
@@ -84,7 +84,7 @@
 	keeper       *keeper.Keeper
 	chatter      *chatter.Handler
 	drainer      *drainer.Drainer
-	watcher      *watcher.Watcher
+	watcher      *watcher.Handler
 	bodies       *bounder.Bounder
 
 	callersTLS, peersTLS, linksTLS *tls.Config
--- a/entry/process/splitter/splitter.go
+++ b/entry/process/splitter/splitter.go
@@ -20,25 +20,25 @@
 
 // A Config sets a Splitter. A zero field takes the default named with it.
 type Config struct {
-	// Smooth is the time constant over which the load is averaged; a minute by
+	// SmoothingTime is the time constant over which the load is averaged; a minute by
 	// default. Long prompts are few and their lengths differ tenfold: over
 	// five seconds, of which each sees one or two, the number swung by half,
 	// and each swing cost more than it gained.
-	Smooth time.Duration
-	// Short is how many times the short prompts' tokens count; 1.5 by default.
+	SmoothingTime time.Duration
+	// ShortTokenWeight is how many times the short prompts' tokens count; 1.5 by default.
 	// The short ones' engines are so two thirds as busy as those of the long
 	// ones, whose callers notice a wait less.
-	Short float64
-	// Up is how many engines too few there must be before one is added, and
-	// Down how many too many before one is given back; 0.6 and 1.25 by
+	ShortTokenWeight float64
+	// GrowThreshold is how many engines too few there must be before one is added, and
+	// ShrinkThreshold how many too many before one is given back; 0.6 and 1.25 by
 	// default: in doubt an engine stays with the short ones. The band of
 	// nearly two engines is wider than one step, so that a step never calls
 	// for its own reversal.
-	Up, Down float64
-	// Rise and Fall are how long that must have lasted; 5 s and a minute by
+	GrowThreshold, ShrinkThreshold float64
+	// GrowDelay and ShrinkDelay are how long that must have lasted; 5 s and a minute by
 	// default. A long prompt holds an engine for tens of seconds: giving one
 	// back sooner would mean to take it again.
-	Rise, Fall time.Duration
+	GrowDelay, ShrinkDelay time.Duration
 }
 
 // none is the part of an engine below which none is set apart any more.
@@ -74,27 +74,27 @@
 
 // New returns a Splitter that sets no engine apart yet.
 func New(c Config) *Splitter {
-	c.Smooth = cmp.Or(c.Smooth, time.Minute)
-	c.Short = cmp.Or(c.Short, 1.5)
-	c.Up = cmp.Or(c.Up, 0.6)
-	c.Down = cmp.Or(c.Down, 1.25)
-	c.Rise = cmp.Or(c.Rise, 5*time.Second)
-	c.Fall = cmp.Or(c.Fall, time.Minute)
+	c.SmoothingTime = cmp.Or(c.SmoothingTime, time.Minute)
+	c.ShortTokenWeight = cmp.Or(c.ShortTokenWeight, 1.5)
+	c.GrowThreshold = cmp.Or(c.GrowThreshold, 0.6)
+	c.ShrinkThreshold = cmp.Or(c.ShrinkThreshold, 1.25)
+	c.GrowDelay = cmp.Or(c.GrowDelay, 5*time.Second)
+	c.ShrinkDelay = cmp.Or(c.ShrinkDelay, time.Minute)
 	return &Splitter{conf: c}
 }
 
-// Step takes the load as of now and gives how many engines are set apart.
-func (s *Splitter) Step(now time.Time, l Load) int {
+// Update takes the load as of now and gives how many engines are set apart.
+func (s *Splitter) Update(now time.Time, l Load) int {
 	s.average(now, l)
 	most := max(0, l.Engines-1)
 	want := s.want(l.Engines)
 	s.above = since(s.above, now, want > s.threshold())
-	s.below = since(s.below, now, want < float64(s.n)-s.conf.Down || (s.n > 0 && want < none))
+	s.below = since(s.below, now, want < float64(s.n)-s.conf.ShrinkThreshold || (s.n > 0 && want < none))
 	switch {
-	case !s.above.IsZero() && now.Sub(s.above) >= s.conf.Rise:
+	case !s.above.IsZero() && now.Sub(s.above) >= s.conf.GrowDelay:
 		s.n += step(want - float64(s.n))
 		s.above = time.Time{}
-	case !s.below.IsZero() && now.Sub(s.below) >= s.conf.Fall:
+	case !s.below.IsZero() && now.Sub(s.below) >= s.conf.ShrinkDelay:
 		s.n -= step(float64(s.n) - want)
 		s.below = time.Time{}
 	}
@@ -108,14 +108,14 @@
 	if s.n == 0 {
 		return first
 	}
-	return float64(s.n) + s.conf.Up
+	return float64(s.n) + s.conf.GrowThreshold
 }
 
 // want is the long prompts' part of the engines, not rounded. At the start it
 // is held down: one long prompt in the first seconds says little, and engines
 // taken from the short ones for it would be missed.
 func (s *Splitter) want(engines int) float64 {
-	sum := s.conf.Short*s.short + s.long
+	sum := s.conf.ShortTokenWeight*s.short + s.long
 	if sum <= 0 {
 		return 0
 	}
@@ -125,7 +125,7 @@
 // average smooths the load with the time constant.
 func (s *Splitter) average(now time.Time, l Load) {
 	if !s.last.IsZero() {
-		weight := 1 - math.Exp(-now.Sub(s.last).Seconds()/s.conf.Smooth.Seconds())
+		weight := 1 - math.Exp(-now.Sub(s.last).Seconds()/s.conf.SmoothingTime.Seconds())
 		s.short += weight * (l.ShortTokens - s.short)
 		s.long += weight * (l.LongTokens - s.long)
 		s.seen += weight * (1 - s.seen)
@@ -148,10 +148,10 @@
 	return was
 }
 
-// Long chooses which n engines are set apart, by a hash of their names alone:
+// LongPromptEngines chooses which n engines are set apart, by a hash of their names alone:
 // every VM that has the same n chooses the same ones, and another n or another
 // engine moves no more of them than it must.
-func Long(names []string, n int) map[string]bool {
+func LongPromptEngines(names []string, n int) map[string]bool {
 	if n <= 0 {
 		return map[string]bool{}
 	}
--- a/entry/process/splitter/splitter_test.go
+++ b/entry/process/splitter/splitter_test.go
@@ -19,7 +19,7 @@
 func steps(s *splitter.Splitter, from time.Time, span time.Duration, load func(time.Time) splitter.Load) (n, changes int, now time.Time) {
 	last := -1
 	for now = from; now.Before(from.Add(span)); now = now.Add(time.Second / 2) {
-		n = s.Step(now, load(now))
+		n = s.Update(now, load(now))
 		if last >= 0 && n != last {
 			changes++
 		}
@@ -97,7 +97,7 @@
 				LongTokens:  float64(rapid.IntRange(0, 1000).Draw(t, "long")),
 				Engines:     rapid.IntRange(0, 20).Draw(t, "engines"),
 			}
-			if n := s.Step(now, l); n < 0 || n > max(0, l.Engines-1) {
+			if n := s.Update(now, l); n < 0 || n > max(0, l.Engines-1) {
 				t.Fatalf("%d of %d", n, l.Engines)
 			}
 		}
@@ -110,14 +110,14 @@
 		names = append(names, fmt.Sprint("e", i))
 	}
 	for n := range 50 {
-		less, more := splitter.Long(names, n), splitter.Long(names, n+1)
+		less, more := splitter.LongPromptEngines(names, n), splitter.LongPromptEngines(names, n+1)
 		assert.Equal(t, len(less), n)
 		for name := range less {
 			assert.Assert(t, more[name], "%s left when one was added", name)
 		}
 	}
-	all := splitter.Long(names, 20)
-	without := splitter.Long(names[:49], 20)
+	all := splitter.LongPromptEngines(names, 20)
+	without := splitter.LongPromptEngines(names[:49], 20)
 	moved := 0
 	for name := range without {
 		if !all[name] {
@@ -125,5 +125,5 @@
 		}
 	}
 	assert.Assert(t, moved <= 1, "%d moved", moved)
-	assert.Equal(t, len(splitter.Long(names, -1)), 0)
+	assert.Equal(t, len(splitter.LongPromptEngines(names, -1)), 0)
 }
--- a/entry/process/watcher/watcher.go
+++ b/entry/process/watcher/watcher.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// A Check tells whether a part of the process is ready, and why not. A part that
+// A ReadinessCheck tells whether a part of the process is ready, and why not. A part that
 // is ready may give a reason too, where it does not work as it should.
-type Check func() (ready bool, reason string)
+type ReadinessCheck func() (ready bool, reason string)
 
 // Status is what /status shows.
 type Status struct {
@@ -32,16 +32,16 @@
 	Cancels int `json:"cancels"`
 }
 
-// A Watcher serves the watch address.
-type Watcher struct {
-	checks []Check
+// A Handler serves the watch address.
+type Handler struct {
+	checks []ReadinessCheck
 	status func() Status
 	mux    *http.ServeMux
 }
 
 // New returns a Watcher. All checks must be ready for the process to be.
-func New(metrics http.Handler, status func() Status, checks ...Check) *Watcher {
-	w := &Watcher{checks: checks, status: status, mux: http.NewServeMux()}
+func New(metrics http.Handler, status func() Status, checks ...ReadinessCheck) *Handler {
+	w := &Handler{checks: checks, status: status, mux: http.NewServeMux()}
 	w.mux.HandleFunc("GET /livez", w.live)
 	w.mux.HandleFunc("GET /readyz", w.ready)
 	w.mux.HandleFunc("GET /status", w.show)
@@ -50,11 +50,11 @@
 }
 
 // ServeHTTP serves one request.
-func (w *Watcher) ServeHTTP(rw http.ResponseWriter, q *http.Request) { w.mux.ServeHTTP(rw, q) }
+func (w *Handler) ServeHTTP(rw http.ResponseWriter, q *http.Request) { w.mux.ServeHTTP(rw, q) }
 
 // Ready tells whether all parts are ready, with every reason that they give.
 // Once one is not, the reasons of those that are stay out.
-func (w *Watcher) Ready() (ready bool, reason string) {
+func (w *Handler) Ready() (ready bool, reason string) {
 	var against, beside []string
 	for _, check := range w.checks {
 		ok, reason := check()
@@ -71,11 +71,11 @@
 	return true, strings.Join(beside, "; ")
 }
 
-func (w *Watcher) live(rw http.ResponseWriter, _ *http.Request) {
+func (w *Handler) live(rw http.ResponseWriter, _ *http.Request) {
 	rw.Write([]byte("live\n"))
 }
 
-func (w *Watcher) ready(rw http.ResponseWriter, _ *http.Request) {
+func (w *Handler) ready(rw http.ResponseWriter, _ *http.Request) {
 	ok, reason := w.Ready()
 	if !ok {
 		rw.WriteHeader(http.StatusServiceUnavailable)
@@ -85,7 +85,7 @@
 	rw.Write([]byte("ready\n"))
 }
 
-func (w *Watcher) show(rw http.ResponseWriter, _ *http.Request) {
+func (w *Handler) show(rw http.ResponseWriter, _ *http.Request) {
 	s := w.status()
 	s.Ready, s.Reason = w.Ready()
 	rw.Header().Set("Content-Type", "application/json")
--- a/entry/process/watcher/watcher_test.go
+++ b/entry/process/watcher/watcher_test.go
@@ -17,14 +17,14 @@
 	leaving := func() (bool, string) { return false, "leaving" }
 	out := func() (bool, string) { return false, "out of service" }
 	for _, c := range []struct {
-		checks []watcher.Check
+		checks []watcher.ReadinessCheck
 		code   int
 		body   string
 		reason string
 	}{
-		{[]watcher.Check{well, well}, 200, "ready\n", ""},
-		{[]watcher.Check{well, behind}, 200, "ready\n", "the log can't be read"},
-		{[]watcher.Check{behind, leaving, out}, 503, "leaving; out of service\n", "leaving; out of service"},
+		{[]watcher.ReadinessCheck{well, well}, 200, "ready\n", ""},
+		{[]watcher.ReadinessCheck{well, behind}, 200, "ready\n", "the log can't be read"},
+		{[]watcher.ReadinessCheck{behind, leaving, out}, 503, "leaving; out of service\n", "leaving; out of service"},
 	} {
 		w := watcher.New(http.NotFoundHandler(), func() watcher.Status { return watcher.Status{ID: "entry-1"} }, c.checks...)
 		got := get(t, w, "/readyz")
@@ -40,7 +40,7 @@
 	}
 }
 
-func get(t *testing.T, w *watcher.Watcher, path string) *httptest.ResponseRecorder {
+func get(t *testing.T, w *watcher.Handler, path string) *httptest.ResponseRecorder {
 	t.Helper()
 	r := httptest.NewRecorder()
 	w.ServeHTTP(r, httptest.NewRequestWithContext(t.Context(), http.MethodGet, path, http.NoBody))
--- a/entry/request/router/fleet_test.go
+++ b/entry/request/router/fleet_test.go
@@ -71,7 +71,7 @@
 	name  string
 	adm   *admitter.Admitter
 	pick  router.Picker
-	gauge *gauger.Gauger
+	gauge *gauger.SpeedEstimator
 	mine  []mine // by engine
 	cands []router.Candidate
 }
@@ -315,13 +315,13 @@
 		}
 	}
 	for t := -10 * time.Minute; t < 0; t += time.Second {
-		f.apart(f.split.Step(epoch.Add(t), l))
+		f.apart(f.split.Update(epoch.Add(t), l))
 	}
 }
 
 // resplit follows the load with the number of engines set apart.
 func (f *fleet) resplit() {
-	n := f.split.Step(f.clock(), splitter.Load{
+	n := f.split.Update(f.clock(), splitter.Load{
 		ShortTokens: float64(f.offered[0]) / tick.Seconds(),
 		LongTokens:  float64(f.offered[1]) / tick.Seconds(),
 		Engines:     len(f.engs),
@@ -370,7 +370,7 @@
 	for i, e := range f.engs {
 		for _, c := range v.mine[i].calls {
 			if c.first == 0 || c.first > f.now {
-				v.gauge.Waiting(f.clock(), e.name, int(c.backlog), f.now-c.sent, prefill)
+				v.gauge.ObservePending(f.clock(), e.name, int(c.backlog), f.now-c.sent, prefill)
 			} else if f.now-c.first >= tick {
 				got := tick.Seconds() * decode / e.slower
 				v.gauge.Observe(f.clock(), e.name, 1, time.Duration(float64(tick)/got), decode)
