--- a/entry/process/canceller/canceller.go
+++ b/entry/process/canceller/canceller.go
@@ -1,8 +1,9 @@
-// Package canceller ends streams at engines. A stream whose reader has gone
-// keeps running there, and keeps its memory, until it is cancelled: a cancel
-// that was lost would lose the memory for good. So each is repeated until the
-// engine confirms it, and what processes that are gone have left is found on
-// the engines' lists. It does not decide who is gone.
+// Package canceller cancels streams at engines. A stream whose client has
+// disconnected keeps running at its engine and keeps its memory there until it
+// is cancelled, so a lost cancel would leak that memory for good. Each cancel
+// is therefore repeated until the engine confirms it, and streams left behind
+// by stopped processes are found by reading the engines' stream lists. Which
+// processes have stopped is decided elsewhere.
 package canceller
 
 import (
@@ -18,119 +19,123 @@
 )
 
 const (
-	// firstPause is the wait before the first repeat. It doubles with each, up
-	// to mostPause: an engine that is down for an hour costs one try a few
-	// seconds for each stream, and one that comes back is soon told.
-	firstPause = 100 * time.Millisecond
-	mostPause  = 4 * time.Second
-	// tryTime bounds one try. A frozen engine takes connections and answers
-	// nothing.
-	tryTime = 2 * time.Second
-	// mostTries bounds the tries in progress at once, so that an engine that
-	// died with thousands of streams does not take thousands of connections.
-	mostTries = 64
-	// lookEvery is how often due repeats are looked for.
-	lookEvery = 50 * time.Millisecond
-	// mostAnswer bounds what is read of an engine's answer, in bytes.
-	mostAnswer = 4 << 20
+	// initialBackoff is the wait before the first retry. It doubles with each
+	// retry up to maxBackoff: an engine that is down for an hour costs one
+	// attempt every few seconds per stream, and one that comes back is reached
+	// within seconds.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 4 * time.Second
+	// attemptTimeout bounds one attempt. A hung engine accepts connections and
+	// sends no response.
+	attemptTimeout = 2 * time.Second
+	// maxConcurrentAttempts bounds the attempts in progress, so that an engine
+	// that died with thousands of streams does not take thousands of
+	// connections.
+	maxConcurrentAttempts = 64
+	// retryCheckInterval is how often the pending cancels are checked for due
+	// retries.
+	retryCheckInterval = 50 * time.Millisecond
+	// maxResponseBytes bounds what is read of an engine's response.
+	maxResponseBytes = 4 << 20
 )
 
-// Error is the class of failed sweeps.
+// Error is the class of errors that Sweep returns.
 var Error = errs.Class("cancel")
 
-// A Timer calls subscribers with the time.
-type Timer interface {
+// A Ticker tells the time and calls subscribers at intervals.
+type Ticker interface {
 	Now() time.Time
 	Subscribe(every time.Duration, call func(time.Time)) (stop func())
 }
 
-// A Canceller keeps cancels until they are confirmed.
+// A Canceller retries cancels until they are confirmed.
 type Canceller struct {
 	client *http.Client
-	timer  Timer
+	ticker Ticker
 
 	sent, confirmed, swept metrics.Counter
 
-	mu      sync.Mutex
-	pending map[target]*cancel
-	trying  int
-	empty   chan struct{}
+	mu       sync.Mutex
+	pending  map[target]*pendingCancel
+	inFlight int
+	drained  chan struct{}
 }
 
 type target struct {
 	address, id string
 }
 
-type cancel struct {
-	done  []func()
-	next  time.Time
-	pause time.Duration
-	busy  bool
+type pendingCancel struct {
+	done        []func()
+	nextAttempt time.Time
+	backoff     time.Duration
+	inFlight    bool
 }
 
-// New returns a Canceller that sends through a client, repeats by a timer and
-// counts in a registry.
-func New(client *http.Client, timer Timer, registry metrics.Registry) *Canceller {
+// New returns a Canceller that sends through client, schedules retries by
+// ticker and counts cancels in registry.
+func New(client *http.Client, ticker Ticker, registry metrics.Registry) *Canceller {
 	c := &Canceller{
-		client: client, timer: timer, pending: make(map[target]*cancel), empty: make(chan struct{}),
+		client: client, ticker: ticker, pending: make(map[target]*pendingCancel), drained: make(chan struct{}),
 		sent:      metrics.GetOrRegisterCounter("cancels.sent", registry),
 		confirmed: metrics.GetOrRegisterCounter("cancels.confirmed", registry),
 		swept:     metrics.GetOrRegisterCounter("cancels.swept", registry),
 	}
-	timer.Subscribe(lookEvery, c.look)
+	ticker.Subscribe(retryCheckInterval, c.startDueAttempts)
 	return c
 }
 
-// Cancel has a stream or part ended at an engine. It returns at once; done, if
-// not nil, is called when the engine has confirmed.
+// Cancel cancels a stream, or a part of one, at an engine. It returns at once;
+// done, if not nil, is called when the engine has confirmed.
 func (c *Canceller) Cancel(address, id string, done func()) {
 	t := target{address, id}
 	c.mu.Lock()
 	p, ok := c.pending[t]
 	if !ok {
-		p = &cancel{pause: firstPause, next: c.timer.Now()}
+		p = &pendingCancel{backoff: initialBackoff, nextAttempt: c.ticker.Now()}
 		c.pending[t] = p
 	}
 	if done != nil {
 		p.done = append(p.done, done)
 	}
 	c.mu.Unlock()
-	c.look(c.timer.Now())
+	c.startDueAttempts(c.ticker.Now())
 }
 
-// look starts the tries that are due.
-func (c *Canceller) look(now time.Time) {
+// startDueAttempts starts the attempts that are due, up to
+// maxConcurrentAttempts.
+func (c *Canceller) startDueAttempts(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for t, p := range c.pending {
-		if c.trying >= mostTries {
+		if c.inFlight >= maxConcurrentAttempts {
 			return
 		}
-		if p.busy || now.Before(p.next) {
+		if p.inFlight || now.Before(p.nextAttempt) {
 			continue
 		}
-		p.busy = true
-		c.trying++
-		go c.try(t, p)
+		p.inFlight = true
+		c.inFlight++
+		go c.attempt(t, p)
 	}
 }
 
-func (c *Canceller) try(t target, p *cancel) {
+func (c *Canceller) attempt(t target, p *pendingCancel) {
 	c.sent.Inc(1)
 	confirmed := c.send(t)
 	c.mu.Lock()
-	c.trying--
-	p.busy = false
+	c.inFlight--
+	p.inFlight = false
 	if !confirmed {
-		p.next = c.timer.Now().Add(p.pause)
-		p.pause = min(2*p.pause, mostPause)
+		p.nextAttempt = c.ticker.Now().Add(p.backoff)
+		p.backoff = min(2*p.backoff, maxBackoff)
 		c.mu.Unlock()
 		return
 	}
 	delete(c.pending, t)
 	if len(c.pending) == 0 {
-		close(c.empty)
-		c.empty = make(chan struct{})
+		close(c.drained)
+		c.drained = make(chan struct{})
 	}
 	c.mu.Unlock()
 	c.confirmed.Inc(1)
@@ -139,39 +144,40 @@
 	}
 }
 
-// send tells an engine once. Both "cancelled" and "no such stream" confirm: the
-// second is the answer to a cancel whose first answer was lost.
+// send makes one attempt and reports whether the engine confirmed it. Both 200
+// and 404 confirm: 404 is the response to a repeated cancel whose first
+// response was lost.
 func (c *Canceller) send(t target) bool {
-	ctx, stop := context.WithTimeout(context.Background(), tryTime)
+	ctx, stop := context.WithTimeout(context.Background(), attemptTimeout)
 	defer stop()
 	u := "http://" + t.address + "/v1/streams/" + url.PathEscape(t.id)
-	q, err := http.NewRequestWithContext(ctx, http.MethodDelete, u, http.NoBody)
+	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, u, http.NoBody)
 	if err != nil {
 		return false
 	}
-	answer, err := c.client.Do(q)
+	response, err := c.client.Do(request)
 	if err != nil {
 		return false
 	}
-	defer answer.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(answer.Body, mostAnswer)); err != nil {
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBytes)); err != nil {
 		return false
 	}
-	return answer.StatusCode == http.StatusOK || answer.StatusCode == http.StatusNotFound
+	return response.StatusCode == http.StatusOK || response.StatusCode == http.StatusNotFound
 }
 
-// Pending is how many cancels are not confirmed.
+// Pending returns the number of unconfirmed cancels.
 func (c *Canceller) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pending)
 }
 
-// Wait returns when every cancel is confirmed, or when the context ends.
+// Wait returns when every cancel is confirmed or the context ends.
 func (c *Canceller) Wait(ctx context.Context) error {
 	for {
 		c.mu.Lock()
-		n, empty := len(c.pending), c.empty
+		n, drained := len(c.pending), c.drained
 		c.mu.Unlock()
 		if n == 0 {
 			return nil
@@ -179,7 +185,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-empty:
+		case <-drained:
 		}
 	}
 }
--- a/entry/process/canceller/sweep.go
+++ b/entry/process/canceller/sweep.go
@@ -7,44 +7,44 @@
 	"net/http"
 )
 
-// young is the age in milliseconds below which a stream of this process is left
-// alone: it may have been begun between the engine's answer and the look at
-// what is known here.
-const young = 5000
+// minSweepAgeMs is the age in milliseconds below which Sweep spares unknown
+// streams of this process: such a stream may have started after the engine
+// wrote its response and before the check against the streams known here.
+const minSweepAgeMs = 5000
 
-// An Owner tells whose streams an engine has.
-type Owner interface {
-	// IsSelf tells whether a process is this one.
+// A ProcessRegistry tells which processes and streams are still running.
+type ProcessRegistry interface {
+	// IsSelf reports whether the process is this one.
 	IsSelf(vm string, boot uint64) bool
-	// InProgress tells whether a stream of this process is in progress.
+	// InProgress reports whether a stream of this process is in progress.
 	InProgress(id string) bool
-	// Gone tells that a process has certainly been stopped.
+	// Gone reports whether the process has certainly stopped.
 	Gone(vm string, boot uint64) bool
 }
 
-type listing struct {
-	Streams []listed `json:"streams"`
+type streamList struct {
+	Streams []streamEntry `json:"streams"`
 }
 
-type listed struct {
-	ID   string `json:"id"`
-	VM   string `json:"vm"`
-	Boot uint64 `json:"boot"`
-	Age  int64  `json:"age_ms"`
+type streamEntry struct {
+	ID    string `json:"id"`
+	VM    string `json:"vm"`
+	Boot  uint64 `json:"boot"`
+	AgeMs int64  `json:"age_ms"`
 }
 
-// Sweep reads an engine's list of streams, and cancels what stands there for
-// nobody: streams of processes that are gone, and streams of this one that it
-// does not know. A stream of any other process is left to that process, which
-// may only be cut off from here.
-func (c *Canceller) Sweep(ctx context.Context, address string, o Owner) error {
+// Sweep reads an engine's list of streams and cancels the orphaned ones:
+// streams of stopped processes, and streams of this process that it does not
+// know. Streams of any other process are left to it, as it may only be
+// unreachable from here.
+func (c *Canceller) Sweep(ctx context.Context, address string, registry ProcessRegistry) error {
 	l, err := c.list(ctx, address)
 	if err != nil {
 		return err
 	}
 	for _, s := range l.Streams {
-		lost := o.IsSelf(s.VM, s.Boot) && s.Age >= young && !o.InProgress(s.ID)
-		if lost || o.Gone(s.VM, s.Boot) {
+		orphaned := registry.IsSelf(s.VM, s.Boot) && s.AgeMs >= minSweepAgeMs && !registry.InProgress(s.ID)
+		if orphaned || registry.Gone(s.VM, s.Boot) {
 			c.swept.Inc(1)
 			c.Cancel(address, s.ID, nil)
 		}
@@ -52,20 +52,20 @@
 	return nil
 }
 
-func (c *Canceller) list(ctx context.Context, address string) (listing, error) {
-	var l listing
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/streams", http.NoBody)
+func (c *Canceller) list(ctx context.Context, address string) (streamList, error) {
+	var l streamList
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/streams", http.NoBody)
 	if err != nil {
 		return l, Error.Wrap(err)
 	}
-	answer, err := c.client.Do(q)
+	response, err := c.client.Do(request)
 	if err != nil {
 		return l, Error.Wrap(err)
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return l, Error.New("the engine answered %d", answer.StatusCode)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return l, Error.New("engine responded to the stream list request with status %d", response.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(answer.Body, mostAnswer)).Decode(&l)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&l)
 	return l, Error.Wrap(err)
 }
