--- a/entry/process/drainer/drainer.go
+++ b/entry/process/drainer/drainer.go
@@ -1,7 +1,7 @@
-// Package drainer stands before all handlers of callers. It counts the requests
-// in progress, and once a VM is leaving or out of service it refuses new ones
-// while the others end in their own time: a planned stop cuts no request. It
-// decides nothing about when to leave.
+// Package drainer provides the outermost HTTP handler for callers' requests. It
+// counts the requests in progress and, once the VM is leaving or out of
+// service, refuses new ones while running ones finish, so that a planned stop
+// aborts no request. When to stop is decided elsewhere.
 package drainer
 
 import (
@@ -13,84 +13,84 @@
 	"github.com/heathervane/heathervane/entry/request/refuser"
 )
 
-// retry is when a caller refused here may come back: the balancer sends the
-// next try to another VM.
-const retry = time.Second
+// retryAfter is sent to refused callers: the load balancer routes the next
+// attempt to another VM.
+const retryAfter = time.Second
 
-// A Drainer is a gate that can be shut.
+// A Drainer limits the requests in progress and can stop accepting new ones.
 type Drainer struct {
-	next http.Handler
-	most int
+	next       http.Handler
+	maxRunning int
 
-	mu      sync.Mutex
-	shut    string
-	running int
-	empty   chan struct{}
+	mu            sync.Mutex
+	refusalReason string
+	running       int
+	idle          chan struct{}
 }
 
-// New returns an open Drainer before a handler, for at most so many requests in
-// progress at once.
-func New(next http.Handler, most int) *Drainer {
-	return &Drainer{next: next, most: most, empty: make(chan struct{})}
+// New returns a Drainer that accepts up to maxRunning concurrent requests for
+// next.
+func New(next http.Handler, maxRunning int) *Drainer {
+	return &Drainer{next: next, maxRunning: maxRunning, idle: make(chan struct{})}
 }
 
-// ServeHTTP passes a request on, or refuses it.
-func (d *Drainer) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	if refusal := d.enter(); refusal != nil {
-		// The connection must not bring this VM further requests.
+// ServeHTTP forwards a request to the next handler, or refuses it.
+func (d *Drainer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if refusal := d.begin(); refusal != nil {
+		// Stops the client from sending further requests on this connection.
 		w.Header().Set("Connection", "close")
 		refusal.Write(w)
 		return
 	}
-	defer d.leave()
-	d.next.ServeHTTP(w, q)
+	defer d.end()
+	d.next.ServeHTTP(w, r)
 }
 
-func (d *Drainer) enter() *refuser.Refusal {
+func (d *Drainer) begin() *refuser.Refusal {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.shut != "" {
-		return refuser.New(http.StatusServiceUnavailable, "leaving", "this VM takes no new work: %s", d.shut).WithRetryAfter(retry)
+	if d.refusalReason != "" {
+		return refuser.New(http.StatusServiceUnavailable, "leaving", "this VM takes no new work: %s", d.refusalReason).WithRetryAfter(retryAfter)
 	}
-	if d.running >= d.most {
-		return refuser.New(http.StatusServiceUnavailable, "crowded", "this VM has %d requests in progress", d.running).WithRetryAfter(retry)
+	if d.running >= d.maxRunning {
+		return refuser.New(http.StatusServiceUnavailable, "crowded", "this VM has %d requests in progress", d.running).WithRetryAfter(retryAfter)
 	}
 	d.running++
 	return nil
 }
 
-func (d *Drainer) leave() {
+func (d *Drainer) end() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.running--
 	if d.running == 0 {
-		close(d.empty)
-		d.empty = make(chan struct{})
+		close(d.idle)
+		d.idle = make(chan struct{})
 	}
 }
 
-// StopAccepting refuses new requests from now on, with a reason.
+// StopAccepting refuses new requests from now on, for the given reason.
 func (d *Drainer) StopAccepting(reason string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.shut = reason
+	d.refusalReason = reason
 }
 
-// Resume takes new requests again.
+// Resume accepts new requests again.
 func (d *Drainer) Resume() { d.StopAccepting("") }
 
-// Running is how many requests are in progress.
+// Running returns the number of requests in progress.
 func (d *Drainer) Running() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.running
 }
 
-// Wait returns when no request is in progress, or when the context ends.
+// Wait returns when no request is in progress or the context ends.
 func (d *Drainer) Wait(ctx context.Context) error {
 	for {
 		d.mu.Lock()
-		running, empty := d.running, d.empty
+		running, idle := d.running, d.idle
 		d.mu.Unlock()
 		if running == 0 {
 			return nil
@@ -98,7 +98,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-empty:
+		case <-idle:
 		}
 	}
 }
