--- a/entry/process/setter/checks.go
+++ b/entry/process/setter/checks.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// minSecret is the shortest secret in bytes: 128 bits where it is random
-	// hex would be 32, and 16 where it is random bytes.
-	minSecret  = 16
-	minHeader  = 1 << 10
-	minBody    = 1 << 10
-	maxHeader  = 1 << 20
-	maxBodies  = 64 << 30
-	maxStreams = 10_000_000
-	maxDrain   = 24 * time.Hour
+	// minSecretBytes is the minimum length of the peer secret: 16 random bytes
+	// are 128 bits, which written as hex take 32 bytes.
+	minSecretBytes = 16
+	minHeader      = 1 << 10
+	minBody        = 1 << 10
+	maxHeader      = 1 << 20
+	maxBodies      = 64 << 30
+	maxStreams     = 10_000_000
+	maxDrain       = 24 * time.Hour
 )
 
-type checks struct {
-	found finder.Findings
+type validator struct {
+	findings finder.Findings
 }
 
-func (c *checks) settings(s Settings) {
+func (c *validator) settings(s Settings) {
 	c.name("id", s.ID)
 	c.name("zone", s.Zone)
 	c.address("callers.address", s.Callers.Address)
 	c.address("peers.address", s.Peers.Address)
 	c.address("watch.address", s.Watch.Address)
-	c.apart(s)
-	c.pair("callers", s.Callers.Certificate, s.Callers.Key)
-	c.pair("peers", s.Peers.Certificate, s.Peers.Key)
+	c.distinctAddresses(s)
+	c.certificatePair("callers", s.Callers.Certificate, s.Callers.Key)
+	c.certificatePair("peers", s.Peers.Certificate, s.Peers.Key)
 	if s.Peers.Authority != "" && s.Peers.Certificate == "" {
-		c.found.Addf("peers.authority", "needs a certificate and a key beside it")
+		c.findings.Addf("peers.authority", "needs a certificate and a key as well")
 	}
-	if len(s.Peers.Secret) < minSecret {
-		c.found.Addf("peers.secret", "has %d bytes, fewer than %d", len(s.Peers.Secret), minSecret)
+	if len(s.Peers.Secret) < minSecretBytes {
+		c.findings.Addf("peers.secret", "has %d bytes, fewer than %d", len(s.Peers.Secret), minSecretBytes)
 	}
 	c.url("platform.log", s.Platform.Log)
 	c.url("platform.list", s.Platform.List)
@@ -51,89 +51,90 @@
 		c.url("platform.weights", s.Platform.Weights)
 	}
 	c.limits(s.Limits)
-	oneOf(c, "policy.router", s.Policy.Router, RouterBest, RouterRandom, RouterLeast, RouterTwo)
-	oneOf(c, "policy.queue", s.Policy.Queue, QueueFair, QueueFirst)
+	oneOf(c, "policy.router", s.Policy.Router, RouterBest, RouterRandom, RouterLeast, RouterTwoChoices)
+	oneOf(c, "policy.queue", s.Policy.Queue, QueueFair, QueueFIFO)
 	oneOf(c, "policy.engines", s.Policy.Engines, EnginesShared, EnginesSplit, EnginesHomes)
 }
 
-func (c *checks) name(place, name string) {
+func (c *validator) name(place, name string) {
 	if !checker.ValidName(name) {
-		c.found.Addf(place, "%q is not 1 to 40 of a-z, 0-9 and -", decoder.Shown(name))
+		c.findings.Addf(place, "%q is not 1 to 40 of a-z, 0-9 and -", decoder.Shown(name))
 	}
 }
 
-func (c *checks) address(place, address string) {
+func (c *validator) address(place, address string) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		c.found.Addf(place, "%q is not an IP number and a port, such as 10.0.0.7:8000", decoder.Shown(address))
+		c.findings.Addf(place, "%q is not an IP address and port such as 10.0.0.7:8000", decoder.Shown(address))
 	}
 }
 
-// apart checks that the three sides do not claim one address.
-func (c *checks) apart(s Settings) {
+// distinctAddresses checks that no two listeners have the same address. Port 0
+// is exempt, since it stands for any free port.
+func (c *validator) distinctAddresses(s Settings) {
 	seen := map[string]string{}
-	sides := []struct{ place, address string }{
+	addresses := []struct{ place, address string }{
 		{"callers.address", s.Callers.Address},
 		{"peers.address", s.Peers.Address},
 		{"watch.address", s.Watch.Address},
 	}
-	for _, side := range sides {
-		if other, ok := seen[side.address]; ok {
-			c.found.Addf(side.place, "is the same as %s", other)
+	for _, a := range addresses {
+		if other, ok := seen[a.address]; ok {
+			c.findings.Addf(a.place, "is the same as %s", other)
 		}
-		if !strings.HasSuffix(side.address, ":0") && side.address != "" {
-			seen[side.address] = side.place
+		if !strings.HasSuffix(a.address, ":0") && a.address != "" {
+			seen[a.address] = a.place
 		}
 	}
 }
 
-func (c *checks) pair(place, certificate, key string) {
+func (c *validator) certificatePair(place, certificate, key string) {
 	if (certificate == "") != (key == "") {
-		c.found.Addf(place, "must have both a certificate and a key, or neither")
+		c.findings.Addf(place, "must have both a certificate and a key, or neither")
 	}
 }
 
-func (c *checks) url(place, text string) {
+func (c *validator) url(place, text string) {
 	u, err := url.Parse(text)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" || u.RawQuery != "" || u.User != nil {
-		c.found.Addf(place, "%q is not a URL such as http://10.0.0.5:7000", decoder.Shown(text))
+		c.findings.Addf(place, "%q is not a URL such as http://10.0.0.5:7000", decoder.Shown(text))
 	}
 }
 
-func (c *checks) limits(l Limits) {
-	within(c, "limits.bodies", l.Bodies, minBody, maxBodies)
-	within(c, "limits.body", l.Body, minBody, maxBodies)
-	within(c, "limits.header", l.Header, minHeader, maxHeader)
-	within(c, "limits.streams", l.Streams, 1, maxStreams)
+func (c *validator) limits(l Limits) {
+	inRange(c, "limits.bodies", l.Bodies, minBody, maxBodies)
+	inRange(c, "limits.body", l.Body, minBody, maxBodies)
+	inRange(c, "limits.header", l.Header, minHeader, maxHeader)
+	inRange(c, "limits.streams", l.Streams, 1, maxStreams)
 	if l.Body > l.Bodies {
-		c.found.Addf("limits.body", "is %s, more than limits.bodies (%s)", l.Body, l.Bodies)
+		c.findings.Addf("limits.body", "is %s, more than limits.bodies (%s)", l.Body, l.Bodies)
 	}
 	if d := time.Duration(l.Drain); d <= 0 || d > maxDrain {
-		c.found.Addf("limits.drain", "is %s, not above 0s and at most %s", d, maxDrain)
+		c.findings.Addf("limits.drain", "is %s, not above 0s and at most %s", d, maxDrain)
 	}
 }
 
-func within[T Size | int](c *checks, place string, n, least, most T) {
-	if n < least || n > most {
-		c.found.Addf(place, "is %v, not between %v and %v", n, least, most)
+func inRange[T ByteSize | int](c *validator, place string, n, lowest, highest T) {
+	if n < lowest || n > highest {
+		c.findings.Addf(place, "is %v, not between %v and %v", n, lowest, highest)
 	}
 }
 
-func oneOf[T ~string](c *checks, place string, value T, allowed ...T) {
+func oneOf[T ~string](c *validator, place string, value T, allowed ...T) {
 	if slices.Contains(allowed, value) {
 		return
 	}
-	words := make([]string, 0, len(allowed))
+	names := make([]string, 0, len(allowed))
 	for _, a := range allowed {
-		words = append(words, string(a))
+		names = append(names, string(a))
 	}
-	c.found.Hintf(place, string(value), words,
-		"is %q, none of %s", decoder.Shown(string(value)), strings.Join(words, ", "))
+	c.findings.Hintf(place, string(value), names,
+		"is %q, none of %s", decoder.Shown(string(value)), strings.Join(names, ", "))
 }
 
-// files reports the files that the settings name and that can't be read.
-func (s *Settings) files() finder.Findings {
+// unreadableFiles reports the files named in the settings that cannot be read.
+func (s *Settings) unreadableFiles() finder.Findings {
 	var found finder.Findings
-	paths := s.paths()
+	paths := s.filePaths()
 	for _, place := range slices.Sorted(maps.Keys(paths)) {
 		path := *paths[place]
 		if path == "" {
@@ -141,7 +142,7 @@
 		}
 		f, err := os.Open(path)
 		if err != nil {
-			found.Addf(place, "can't be read: %v", err)
+			found.Addf(place, "cannot be read: %v", err)
 			continue
 		}
 		f.Close()
--- a/entry/process/setter/setter.go
+++ b/entry/process/setter/setter.go
@@ -1,6 +1,7 @@
-// Package setter reads the settings of one process: its name, addresses, keys,
-// the platform's addresses and the limits of its VM. They are read once at
-// start; what operators decide about the fleet stands in the manifest instead.
+// Package setter reads and validates the settings file of one process: its
+// name, addresses, keys, the platform's addresses and the limits of its VM. The
+// file is read once, at start; what operators configure for the fleet is in the
+// manifest instead.
 package setter
 
 import (
@@ -13,10 +14,10 @@
 	"github.com/heathervane/heathervane/library/finder"
 )
 
-// MaxBytes is the longest settings file in bytes.
+// MaxBytes is the maximum size of a settings file.
 const MaxBytes = 64 << 10
 
-// Settings are what one process is started with.
+// Settings holds the settings of one process.
 type Settings struct {
 	// ID is the name of the VM, unique in the fleet.
 	ID string `toml:"id"`
@@ -30,7 +31,7 @@
 	Policy   Policy   `toml:"policy"`
 }
 
-// Callers is the side that callers connect to.
+// Callers configures the listener for callers.
 type Callers struct {
 	// Address is the IP number and port to listen on; port 0 takes any.
 	Address string `toml:"address"`
@@ -40,21 +41,21 @@
 	Key         string `toml:"key"`
 }
 
-// Peers is the side that the other VMs connect to.
+// Peers configures the listener for the other VMs.
 type Peers struct {
 	// Address is the IP number and port to listen on; port 0 takes any.
 	Address string `toml:"address"`
-	// Secret is what VMs prove to one another that they hold.
+	// Secret is the shared secret by which VMs authenticate to each other.
 	Secret string `toml:"secret"`
 	// Certificate and Key are PEM files, as in Callers.
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
-	// Authority is a PEM file of certificates. With it each VM must show a
-	// certificate that the authority has signed.
+	// Authority is a PEM file of CA certificates. If set, each VM must present
+	// a certificate signed by this authority.
 	Authority string `toml:"authority"`
 }
 
-// Watch is the side for health checks and scrapers.
+// Watch configures the listener for health checks and metrics scrapers.
 type Watch struct {
 	// Address is the IP number and port to listen on; port 0 takes any.
 	Address string `toml:"address"`
@@ -64,70 +65,72 @@
 type Platform struct {
 	Log  string `toml:"log"`
 	List string `toml:"list"`
-	// Weights may be empty where engines load their own weights.
+	// Weights may be empty if engines load their own weights.
 	Weights string `toml:"weights"`
 }
 
-// Limits bound what callers may take of the VM.
+// Limits bounds what callers may use of the VM.
 type Limits struct {
-	// Bodies bounds the request bodies held in memory over all requests.
-	Bodies Size `toml:"bodies"`
-	// Body bounds one request's body.
-	Body Size `toml:"body"`
-	// Header bounds one request's header.
-	Header Size `toml:"header"`
-	// Streams bounds the requests in progress.
+	// Bodies bounds the total size of request bodies held in memory.
+	Bodies ByteSize `toml:"bodies"`
+	// Body bounds the size of one request's body.
+	Body ByteSize `toml:"body"`
+	// Header bounds the size of one request's header.
+	Header ByteSize `toml:"header"`
+	// Streams bounds the number of requests in progress.
 	Streams int `toml:"streams"`
 	// Drain bounds how long a planned stop waits for requests in progress. It
 	// should be above the longest time limit in the manifest.
 	Drain checker.Duration `toml:"drain"`
 }
 
-// Router names a way to choose the upstream of a request.
+// Router names a strategy for choosing the upstream of a request.
 type Router string
 
-// The routers. All but RouterBest are baselines for measurements.
+// The routers. All but RouterBest are baselines for benchmarks.
 const (
-	RouterBest   Router = "best"
-	RouterRandom Router = "random"
-	RouterLeast  Router = "least"
-	RouterTwo    Router = "two"
+	RouterBest       Router = "best"
+	RouterRandom     Router = "random"
+	RouterLeast      Router = "least"
+	RouterTwoChoices Router = "two"
 )
 
-// Queue names an order of waiting requests.
+// Queue names the order in which waiting requests are served.
 type Queue string
 
-// The queues. QueueFirst, first come first served, is a baseline for
-// measurements.
+// The queue orders. QueueFIFO, first come first served, is a baseline for
+// benchmarks.
 const (
-	QueueFair  Queue = "fair"
-	QueueFirst Queue = "first"
+	QueueFair Queue = "fair"
+	QueueFIFO Queue = "first"
 )
 
-// Engines names a way to share out engines.
+// Engines names a way of dividing engines among requests.
 type Engines string
 
-// The ways to share out engines. The engines of a model are open to every
-// prompt, which suits engines that honour priorities; or some are set apart for
-// long prompts; or, besides, each is the home of one VM.
+// The ways of dividing engines. With EnginesShared, all engines of a model take
+// every prompt, which suits engines that honour priorities. EnginesSplit
+// reserves some engines for long prompts. EnginesHomes does too, and also
+// assigns each engine to one home VM.
 const (
 	EnginesShared Engines = "shared"
 	EnginesSplit  Engines = "split"
 	EnginesHomes  Engines = "homes"
 )
 
-// Policy chooses between ways to decide under load.
+// Policy selects the strategies that are used under load.
 type Policy struct {
 	Router Router `toml:"router"`
 	Queue  Queue  `toml:"queue"`
-	// Engines says how engines are shared out.
+	// Engines selects how engines are divided among requests.
 	Engines Engines `toml:"engines"`
 }
 
-// Defaults of Limits. They suit a VM with 512 MiB of memory: a million-token
-// prompt is about 4 MiB, and the bodies take at most an eighth. The drain limit
-// is twice the longest that a request may last by a manifest's own defaults,
-// because a limit below it would cut requests at a planned stop.
+// Defaults of Limits. They suit a VM with 512 MiB of memory: a prompt of a
+// million tokens is about 4 MiB, and all bodies together take at most an eighth
+// of the memory. The drain limit is twice the longest time that a request may
+// take by the manifest's own defaults: a limit shorter than a request may take
+// would abort requests at a planned stop.
 const (
 	defaultBodies  = 64 << 20
 	defaultBody    = 16 << 20
@@ -136,7 +139,7 @@
 	defaultDrain   = 2 * time.Hour
 )
 
-func preset() Settings {
+func defaultSettings() Settings {
 	return Settings{
 		Limits: Limits{
 			Bodies: defaultBodies, Body: defaultBody, Header: defaultHeader,
@@ -146,32 +149,34 @@
 	}
 }
 
-// Read reads the settings file at path. Paths in it are relative to its own
-// folder. The error is a *finder.Error with all findings where the file could
-// be read, also those about files that it names.
+// Read reads the settings file at path. Relative paths in it are resolved
+// against its folder. If the file itself could be read, a returned error is a
+// *finder.Error with every finding, including those about files that the
+// settings name.
 func Read(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return Settings{}, err
 	}
-	s, found := Parse(data)
-	s.resolve(filepath.Dir(path))
-	found = append(found, s.files()...)
-	return s, found.Err()
+	s, findings := Parse(data)
+	s.resolvePaths(filepath.Dir(path))
+	findings = append(findings, s.unreadableFiles()...)
+	return s, findings.Err()
 }
 
-// Parse reads settings and returns all that is wrong with them. It opens no
-// file that they name.
+// Parse parses settings and returns them with everything that is wrong with
+// them. It opens no file that they name.
 func Parse(data []byte) (Settings, finder.Findings) {
-	s := preset()
-	found := decoder.Decode(data, &s, MaxBytes)
-	c := checks{found: found}
+	s := defaultSettings()
+	findings := decoder.Decode(data, &s, MaxBytes)
+	c := validator{findings: findings}
 	c.settings(s)
-	return s, c.found
+	return s, c.findings
 }
 
-// paths are the settings that name files, with their places.
-func (s *Settings) paths() map[string]*string {
+// filePaths returns pointers to the settings that hold file paths, by setting
+// key.
+func (s *Settings) filePaths() map[string]*string {
 	return map[string]*string{
 		"callers.certificate": &s.Callers.Certificate,
 		"callers.key":         &s.Callers.Key,
@@ -181,8 +186,8 @@
 	}
 }
 
-func (s *Settings) resolve(folder string) {
-	for _, p := range s.paths() {
+func (s *Settings) resolvePaths(folder string) {
+	for _, p := range s.filePaths() {
 		if *p != "" && !filepath.IsAbs(*p) {
 			*p = filepath.Join(folder, *p)
 		}
--- a/entry/process/setter/setter_test.go
+++ b/entry/process/setter/setter_test.go
@@ -14,19 +14,19 @@
 	"github.com/heathervane/heathervane/library/finder"
 )
 
-const path = "../../../examples/entry.toml"
+const examplePath = "../../../examples/entry.toml"
 
 func example(t testing.TB) string {
-	data, err := os.ReadFile(path)
+	data, err := os.ReadFile(examplePath)
 	assert.NilError(t, err)
 	return string(data)
 }
 
-func TestExampleSettingsStand(t *testing.T) {
-	s, err := setter.Read(path)
+func TestExampleSettingsAreValid(t *testing.T) {
+	s, err := setter.Read(examplePath)
 	assert.NilError(t, err)
 	assert.Equal(t, s.ID, "entry-1")
-	assert.Equal(t, s.Limits.Bodies, setter.Size(64<<20))
+	assert.Equal(t, s.Limits.Bodies, setter.ByteSize(64<<20))
 	assert.Equal(t, time.Duration(s.Limits.Drain), 2*time.Hour)
 	assert.Equal(t, s.Policy.Router, setter.RouterBest)
 }
@@ -56,7 +56,7 @@
 		assert.Assert(t, strings.Contains(text, c.old), c.old)
 		_, found := setter.Parse([]byte(strings.Replace(text, c.old, c.new, 1)))
 		assert.ErrorContains(t, found.Err(), c.want)
-		assert.Assert(t, !strings.Contains(found.Err().Error(), "hush-hush"), "a secret is repeated")
+		assert.Assert(t, !strings.Contains(found.Err().Error(), "hush-hush"), "the error contains the secret")
 	}
 }
 
@@ -75,9 +75,9 @@
 	assert.DeepEqual(t, places, []string{"limits.streams", "callers.certificate", "callers.key"})
 }
 
-func TestSizesSurviveWriting(t *testing.T) {
+func TestSizeRoundTrip(t *testing.T) {
 	for _, text := range []string{"0B", "1B", "1023B", "1KiB", "64MiB", "3GiB"} {
-		var s setter.Size
+		var s setter.ByteSize
 		assert.NilError(t, s.UnmarshalText([]byte(text)))
 		assert.Equal(t, s.String(), text)
 	}
--- a/entry/process/setter/size.go
+++ b/entry/process/setter/size.go
@@ -6,11 +6,12 @@
 	"strings"
 )
 
-// A Size is a number of bytes that settings write as "64MiB".
-type Size int64
+// A ByteSize is a number of bytes, written in settings as "64MiB", for example.
+type ByteSize int64
 
-// units are in falling order, so that a size is written in the largest one
-// that divides it. "B" comes last because it ends all the others.
+// units is sorted from largest to smallest, so that String uses the largest
+// unit that divides a size. "B" is last because it is a suffix of all the
+// others.
 var units = []struct {
 	name  string
 	bytes int64
@@ -21,8 +22,8 @@
 	{"B", 1},
 }
 
-// UnmarshalText reads a whole number of B, KiB, MiB or GiB.
-func (s *Size) UnmarshalText(text []byte) error {
+// UnmarshalText parses a whole number of B, KiB, MiB or GiB.
+func (s *ByteSize) UnmarshalText(text []byte) error {
 	for _, u := range units {
 		digits, ok := strings.CutSuffix(string(text), u.name)
 		if !ok {
@@ -32,17 +33,17 @@
 		if err != nil || n < 0 || n > (1<<62)/u.bytes {
 			break
 		}
-		*s = Size(n * u.bytes)
+		*s = ByteSize(n * u.bytes)
 		return nil
 	}
 	return fmt.Errorf("%q is not a size such as 64MiB, 16KiB or 512B", text)
 }
 
-// MarshalText writes the form that UnmarshalText reads.
-func (s Size) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+// MarshalText returns the form that UnmarshalText parses.
+func (s ByteSize) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// String writes the size in the largest unit that divides it.
-func (s Size) String() string {
+// String formats the size in the largest unit that divides it.
+func (s ByteSize) String() string {
 	for _, u := range units {
 		if int64(s)%u.bytes == 0 && s != 0 {
 			return strconv.FormatInt(int64(s)/u.bytes, 10) + u.name
