--- a/entry/process/gauger/gauger.go
+++ b/entry/process/gauger/gauger.go
@@ -1,10 +1,11 @@
-// Package gauger measures how fast upstreams are against what they promise. It
-// answers engines that slow down and keep reporting that all is well. Without
-// it such an engine looks idle, because few requests end there, and draws ever
-// more of them; and when it recovers, all VMs would return to it at once.
+// Package gauger estimates the speed of upstreams relative to the rate they
+// advertise. It detects engines that slow down while still reporting that they
+// are healthy. Without it, such an engine would look idle, because few requests
+// finish there, and would attract ever more of them; and once it recovered, all
+// VMs would return to it at once.
 //
-// The measure falls quickly and rises slowly: with answers, and where none can
-// come, because nothing is sent to an upstream that counts as slow, with time.
+// The estimate falls quickly and recovers slowly: with each response and, for
+// an upstream that counts as slow and so gets no requests, with time.
 package gauger
 
 import (
@@ -13,102 +14,110 @@
 )
 
 const (
-	// least is the lowest speed: lower ones cannot be told from standing.
-	least = 0.01
-	// fall is the weight of a new measure below the present speed. Two slow
-	// answers take an engine from 1 to 0.3.
-	fall = 0.6
-	// rise is the same above it. An engine that has recovered from a tenth is
-	// at half of its speed after three answers and at 0.9 after eight.
-	rise = 0.25
-	// grace is how long beyond what was promised an answer may take before its
-	// absence says anything: lag, scheduling and batching take that much.
+	// minSpeed is the lowest speed: lower ones cannot be told from an engine
+	// that has stopped.
+	minSpeed = 0.01
+	// slowerWeight is the weight of a new measurement below the current speed.
+	// Two slow responses take an engine from 1 to 0.3.
+	slowerWeight = 0.6
+	// fasterWeight is the weight of a new measurement above the current speed.
+	// An engine that recovers from a tenth of its speed is at half after three
+	// responses and at 0.9 after eight.
+	fasterWeight = 0.25
+	// grace is how far a response may exceed its expected time before the delay
+	// lowers the speed: network latency, scheduling and batching take that
+	// long.
 	grace = 100 * time.Millisecond
-	// renewal is the time without a measure in which a low speed doubles. An
-	// upstream taken for too slow for every limit gets nothing, and so would
-	// never be measured again: its VM would refuse all questions for as long as
-	// it lives. Five seconds bring the lowest speed back to 1 in 33 s, and
-	// give an engine that still is ten times slower a request every few seconds.
-	renewal = 5 * time.Second
-	// memory is how long a speed is kept for an upstream that gives no
-	// further measure, after which Sweep forgets it.
-	memory = 10 * time.Minute
+	// recoveryDoubling is the time without a measurement in which a low speed
+	// doubles. An upstream that counts as too slow for every time limit gets no
+	// requests and so would never be measured again: its VM would refuse all
+	// requests for as long as it runs. At 5 s the lowest speed is back at 1
+	// after 33 s, and an engine that is still ten times slower gets a request
+	// every few seconds.
+	recoveryDoubling = 5 * time.Second
+	// retention is how long the speed of an upstream without new measurements
+	// is kept before RemoveStale drops it.
+	retention = 10 * time.Minute
 )
 
-// A SpeedEstimator keeps the speeds of a VM's upstreams. It is not safe for use by
-// several goroutines.
+// A SpeedEstimator holds the estimated speeds of a VM's upstreams. It is not
+// safe for concurrent use.
 type SpeedEstimator struct {
-	speeds map[string]speed
+	speeds map[string]measurement
 }
 
-type speed struct {
-	value float64
+type measurement struct {
+	speed float64
 	at    time.Time
 }
 
-// New returns a Gauger that knows no upstream.
+// New returns an empty SpeedEstimator.
 func New() *SpeedEstimator {
-	return &SpeedEstimator{speeds: map[string]speed{}}
+	return &SpeedEstimator{speeds: map[string]measurement{}}
 }
 
-// Observe takes an answer: the upstream took that long over so many tokens,
-// and had promised that many a second. For a first token, count all the prompt
-// tokens that stood before it in the upstream; for later tokens, those of one
-// stream against the decode rate.
+// Observe records a response: the upstream took the given time for the given
+// number of tokens, and advertises promised tokens per second. For a first
+// token, tokens counts all prompt tokens that were queued before it at the
+// upstream; for later tokens, it counts those of one stream, and promised is
+// the decode rate.
 func (g *SpeedEstimator) Observe(now time.Time, name string, tokens int, took time.Duration, promised float64) {
 	if tokens <= 0 || promised <= 0 {
 		return
 	}
 	value := g.Speed(now, name)
-	ratio := ratio(tokens, took, promised)
-	weight := rise
+	ratio := measuredSpeed(tokens, took, promised)
+	weight := fasterWeight
 	if ratio < value {
-		weight = fall
+		weight = slowerWeight
 	}
-	g.speeds[name] = speed{value: value + weight*(ratio-value), at: now}
+	g.speeds[name] = measurement{speed: value + weight*(ratio-value), at: now}
 }
 
-// ObservePending takes an answer that has not come: of the tokens asked for nothing
-// came for that long. An engine that answers nothing would otherwise count as
-// fast until its first answer.
+// ObservePending records a response that has not arrived after the given time.
+// Without it, an engine that does not respond would count as fast until its
+// first response.
 func (g *SpeedEstimator) ObservePending(now time.Time, name string, tokens int, since time.Duration, promised float64) {
 	if tokens <= 0 || promised <= 0 {
 		return
 	}
-	if ratio := ratio(tokens, since, promised); ratio < g.Speed(now, name) {
-		g.speeds[name] = speed{value: ratio, at: now}
+	if ratio := measuredSpeed(tokens, since, promised); ratio < g.Speed(now, name) {
+		g.speeds[name] = measurement{speed: ratio, at: now}
 	}
 }
 
-// Speed is the speed at a time by the last measure: 1 as promised, 0.1 ten times
-// slower.
+// Speed returns the estimated speed of an upstream at the given time, relative
+// to its advertised rate: 0.1 is ten times slower. An unknown upstream has
+// speed 1.
 func (g *SpeedEstimator) Speed(now time.Time, name string) float64 {
 	s, ok := g.speeds[name]
 	if !ok {
 		return 1
 	}
-	doubled := max(0, now.Sub(s.at).Seconds()) / renewal.Seconds()
-	return min(1, s.value*math.Exp2(doubled))
+	doubled := max(0, now.Sub(s.at).Seconds()) / recoveryDoubling.Seconds()
+	return min(1, s.speed*math.Exp2(doubled))
 }
 
-// Forget drops an upstream that has gone.
+// Forget removes an upstream that no longer exists.
 func (g *SpeedEstimator) Forget(name string) { delete(g.speeds, name) }
 
-// RemoveStale drops what was last measured too long ago to say anything.
+// RemoveStale removes the speeds whose last measurement is older than
+// retention.
 func (g *SpeedEstimator) RemoveStale(now time.Time) {
 	for name, s := range g.speeds {
-		if now.Sub(s.at) > memory {
+		if now.Sub(s.at) > retention {
 			delete(g.speeds, name)
 		}
 	}
 }
 
-// ratio is the speed that one measure shows, from least to 1.
-func ratio(tokens int, took time.Duration, promised float64) float64 {
+// measuredSpeed returns the speed that one measurement shows, from minSpeed to
+// 1.
+func measuredSpeed(tokens int, took time.Duration, promised float64) float64 {
 	expected := float64(tokens) / promised
-	over := took.Seconds() - grace.Seconds()
-	if over <= expected {
+	adjusted := took.Seconds() - grace.Seconds()
+	if adjusted <= expected {
 		return 1
 	}
-	return max(least, expected/over)
+	return max(minSpeed, expected/adjusted)
 }
