--- a/entry/process/indexer/indexer.go
+++ b/entry/process/indexer/indexer.go
@@ -1,11 +1,13 @@
-// Package indexer remembers which engine has read which prompt's beginning. It
-// answers many questions about one long document: without it each of them is
-// read anew on whichever engine is free, at seconds of prefill each.
+// Package indexer records which engine has processed which prompt prefix, for
+// prefix-cache affinity. It serves the case of many requests about one long
+// document: without it, each request would prefill the document again on
+// whichever engine is free, which takes seconds each time.
 //
-// A hint is never a promise. Engines drop prefixes when their memory is full,
-// and say so late and with gaps; so a hint only makes an engine look nearer to
-// its prompt, for a time. It is this VM's own knowledge: what other VMs sent is not in it, which costs a second reading of
-// a document for each VM that is asked about it, and no message.
+// An entry is only a hint. Engines evict prefixes when their memory is full,
+// and report that late and incompletely, so a hint only raises an engine's
+// preference for a prompt, for a limited time. Each VM records only what it
+// sent itself: every VM that gets requests about a document has it prefilled
+// once more, but no messages are exchanged.
 package indexer
 
 import (
@@ -13,20 +15,21 @@
 	"time"
 )
 
-// life is how long a hint counts. Engines keep a prefix for minutes under
-// ordinary load; an older hint is more often wrong than right.
-const life = 5 * time.Minute
+// hintTTL is how long a hint is valid. Engines keep a prefix for minutes under
+// normal load; an older hint is more often wrong than right.
+const hintTTL = 5 * time.Minute
 
-// A PrefixIndex holds a bounded number of hints. It is not safe for concurrent use.
+// A PrefixIndex holds a bounded number of hints. It is not safe for concurrent
+// use.
 type PrefixIndex struct {
-	most  int
-	order *list.List
-	hints map[key]*list.Element
+	maxHints int
+	order    *list.List
+	hints    map[key]*list.Element
 }
 
 type key struct {
-	head     uint64
-	upstream string
+	prefixHash uint64
+	upstream   string
 }
 
 type hint struct {
@@ -35,32 +38,33 @@
 	at   time.Time
 }
 
-// New returns a Indexer of at most so many hints; the oldest goes first.
-func New(most int) *PrefixIndex {
-	return &PrefixIndex{most: most, order: list.New(), hints: make(map[key]*list.Element)}
+// New returns a PrefixIndex of at most maxHints hints. When it is full, the
+// oldest hint is evicted.
+func New(maxHints int) *PrefixIndex {
+	return &PrefixIndex{maxHints: maxHints, order: list.New(), hints: make(map[key]*list.Element)}
 }
 
-// Add keeps that an engine has read the beginning of a prompt.
-func (h *PrefixIndex) Add(now time.Time, head uint64, upstream string, boot uint64) {
-	k := key{head, upstream}
+// Add records that an engine has processed a prompt prefix.
+func (h *PrefixIndex) Add(now time.Time, prefixHash uint64, upstream string, boot uint64) {
+	k := key{prefixHash, upstream}
 	if e, ok := h.hints[k]; ok {
 		h.order.Remove(e)
 	}
 	h.hints[k] = h.order.PushBack(hint{key: k, boot: boot, at: now})
-	if h.order.Len() > h.most {
+	if h.order.Len() > h.maxHints {
 		h.remove(h.order.Front())
 	}
 }
 
-// Has tells whether an engine probably has the beginning of a prompt. One that
-// has started anew since has nothing.
-func (h *PrefixIndex) Has(now time.Time, head uint64, upstream string, boot uint64) bool {
-	e, ok := h.hints[key{head, upstream}]
+// Has reports whether an engine probably has a prompt prefix cached. An engine
+// that has restarted since, as its boot number shows, has not.
+func (h *PrefixIndex) Has(now time.Time, prefixHash uint64, upstream string, boot uint64) bool {
+	e, ok := h.hints[key{prefixHash, upstream}]
 	if !ok {
 		return false
 	}
-	v := e.Value.(hint) //nolint:forcetypeassert // the list holds nothing else
-	if now.Sub(v.at) > life || (boot != 0 && v.boot != 0 && v.boot != boot) {
+	v := e.Value.(hint) //nolint:forcetypeassert // the list holds only hints
+	if now.Sub(v.at) > hintTTL || (boot != 0 && v.boot != 0 && v.boot != boot) {
 		h.remove(e)
 		return false
 	}
--- a/entry/process/indexer/indexer_test.go
+++ b/entry/process/indexer/indexer_test.go
@@ -12,23 +12,23 @@
 func TestHints(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := []struct {
-		name string
-		do   func(h *indexer.PrefixIndex)
-		head uint64
-		boot uint64
-		at   time.Duration
-		want bool
+		name       string
+		do         func(h *indexer.PrefixIndex)
+		prefixHash uint64
+		boot       uint64
+		at         time.Duration
+		want       bool
 	}{
-		{"read there", func(*indexer.PrefixIndex) {}, 1, 7, time.Second, true},
+		{"processed there", func(*indexer.PrefixIndex) {}, 1, 7, time.Second, true},
 		{"another prompt", func(*indexer.PrefixIndex) {}, 2, 7, time.Second, false},
-		{"started anew", func(*indexer.PrefixIndex) {}, 1, 8, time.Second, false},
+		{"restarted", func(*indexer.PrefixIndex) {}, 1, 8, time.Second, false},
 		{"boot unknown", func(*indexer.PrefixIndex) {}, 1, 0, time.Second, true},
-		{"long ago", func(*indexer.PrefixIndex) {}, 1, 7, time.Hour, false},
-		{"pushed out", func(h *indexer.PrefixIndex) {
+		{"expired", func(*indexer.PrefixIndex) {}, 1, 7, time.Hour, false},
+		{"evicted", func(h *indexer.PrefixIndex) {
 			h.Add(now, 5, "e1", 7)
 			h.Add(now, 6, "e1", 7)
 		}, 1, 7, time.Second, false},
-		{"read again", func(h *indexer.PrefixIndex) {
+		{"processed again", func(h *indexer.PrefixIndex) {
 			h.Add(now, 5, "e1", 7)
 			h.Add(now, 1, "e1", 7)
 			h.Add(now, 6, "e1", 7)
@@ -39,7 +39,7 @@
 			h := indexer.New(2)
 			h.Add(now, 1, "e1", 7)
 			test.do(h)
-			assert.Equal(t, h.Has(now.Add(test.at), test.head, "e1", test.boot), test.want)
+			assert.Equal(t, h.Has(now.Add(test.at), test.prefixHash, "e1", test.boot), test.want)
 		})
 	}
 }
