--- a/entry/process/splitter/splitter.go
+++ b/entry/process/splitter/splitter.go
@@ -1,12 +1,11 @@
-// Package splitter decides how many engines are set apart for long prompts. It
-// answers a mix of short and long prompts that changes over the day. Without
-// it long prompts stand on every engine, and a short question meets one
-// wherever it goes; with a fixed number, engines idle on one side while the
-// other side is full.
+// Package splitter decides how many engines of a model to reserve for long
+// prompts, for a mix of short and long prompts that changes over the day.
+// Without it, long prompts run on every engine and delay short ones everywhere;
+// with a fixed number, engines idle on one side while the other side is full.
 //
-// The number follows the offered tokens, smoothed, with hysteresis: an engine
-// that changes sides must first finish what it runs, so that a number that
-// swings costs more than one that is a little off.
+// The number follows the offered tokens, smoothed and with hysteresis: an
+// engine that changes sides must first finish what it runs, so a number that
+// oscillates costs more than one that is slightly off.
 package splitter
 
 import (
@@ -18,61 +17,66 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A Config sets a Splitter. A zero field takes the default named with it.
+// A Config configures a Splitter. Zero fields take their defaults.
 type Config struct {
-	// SmoothingTime is the time constant over which the load is averaged; a minute by
-	// default. Long prompts are few and their lengths differ tenfold: over
-	// five seconds, of which each sees one or two, the number swung by half,
-	// and each swing cost more than it gained.
+	// SmoothingTime is the time constant over which the load is averaged; one
+	// minute by default. Long prompts are few and differ tenfold in length:
+	// averaged over five seconds, which see one or two of them, the number
+	// oscillated by half, and each change cost more than it gained.
 	SmoothingTime time.Duration
-	// ShortTokenWeight is how many times the short prompts' tokens count; 1.5 by default.
-	// The short ones' engines are so two thirds as busy as those of the long
-	// ones, whose callers notice a wait less.
+	// ShortTokenWeight is the weight of short prompts' tokens; 1.5 by default.
+	// The engines for short prompts are thus two thirds as busy as those for
+	// long prompts, whose callers notice a wait less.
 	ShortTokenWeight float64
-	// GrowThreshold is how many engines too few there must be before one is added, and
-	// ShrinkThreshold how many too many before one is given back; 0.6 and 1.25 by
-	// default: in doubt an engine stays with the short ones. The band of
-	// nearly two engines is wider than one step, so that a step never calls
-	// for its own reversal.
+	// GrowThreshold is by how many engines the number must be too low before it
+	// is raised, and ShrinkThreshold by how many it must be too high before it
+	// is lowered; 0.6 and 1.25 by default, so that in doubt an engine stays
+	// with the short prompts. The band of nearly two engines is wider than one
+	// step, so that no step triggers its own reversal.
 	GrowThreshold, ShrinkThreshold float64
-	// GrowDelay and ShrinkDelay are how long that must have lasted; 5 s and a minute by
-	// default. A long prompt holds an engine for tens of seconds: giving one
-	// back sooner would mean to take it again.
+	// GrowDelay and ShrinkDelay are how long the number must have been too low
+	// or too high before it is changed; 5 s and one minute by default. A long
+	// prompt occupies an engine for tens of seconds: an engine that is released
+	// sooner would soon have to be reserved again.
 	GrowDelay, ShrinkDelay time.Duration
 }
 
-// none is the part of an engine below which none is set apart any more.
-const none = 0.01
+// releaseThreshold is the desired number of engines below which no engine stays
+// reserved.
+const releaseThreshold = 0.01
 
-// first is the part of an engine from which one is set apart.
-const first = 0.1
+// firstThreshold is the desired number of engines above which the first engine
+// is reserved.
+const firstThreshold = 0.1
 
-// enough is the part of the time constant after which averages are trusted.
-const enough = 0.5
+// warmUpFraction is the value of Splitter.warmUp from which the averages are
+// used at full weight.
+const warmUpFraction = 0.5
 
-// A Load is what is offered.
+// A Load describes the load offered to a model's engines.
 type Load struct {
-	// ShortTokens and LongTokens are prompt tokens offered per second.
+	// ShortTokens and LongTokens are the offered prompt tokens per second.
 	ShortTokens, LongTokens float64
-	// Engines is how many there are.
+	// Engines is the number of engines of the model.
 	Engines int
 }
 
-// A Splitter keeps the number for one model. It is not safe for use by several
-// goroutines.
+// A Splitter holds the number of reserved engines of one model. It is not safe
+// for concurrent use.
 type Splitter struct {
-	conf Config
-	last time.Time
-	// short and long are averages that begin at 0, and seen is how much of the
-	// time constant is behind them, from 0 to 1.
-	short, long, seen float64
-
-	n int
-	// above and below are since when there were too few or too many.
-	above, below time.Time
+	conf       Config
+	lastUpdate time.Time
+	// short and long are moving averages that start at 0. warmUp, from 0 to 1,
+	// is how far they have converged from that start.
+	short, long, warmUp float64
+
+	reserved int
+	// aboveSince and belowSince are the times since which the desired number
+	// has been above or below its threshold; zero if it is not.
+	aboveSince, belowSince time.Time
 }
 
-// New returns a Splitter that sets no engine apart yet.
+// New returns a Splitter that reserves no engines yet.
 func New(c Config) *Splitter {
 	c.SmoothingTime = cmp.Or(c.SmoothingTime, time.Minute)
 	c.ShortTokenWeight = cmp.Or(c.ShortTokenWeight, 1.5)
@@ -83,74 +87,77 @@
 	return &Splitter{conf: c}
 }
 
-// Update takes the load as of now and gives how many engines are set apart.
+// Update records the current load and returns the number of engines to reserve.
 func (s *Splitter) Update(now time.Time, l Load) int {
-	s.average(now, l)
-	most := max(0, l.Engines-1)
-	want := s.want(l.Engines)
-	s.above = since(s.above, now, want > s.threshold())
-	s.below = since(s.below, now, want < float64(s.n)-s.conf.ShrinkThreshold || (s.n > 0 && want < none))
+	s.smooth(now, l)
+	limit := max(0, l.Engines-1)
+	desired := s.desired(l.Engines)
+	s.aboveSince = trueSince(s.aboveSince, now, desired > s.threshold())
+	s.belowSince = trueSince(s.belowSince, now, desired < float64(s.reserved)-s.conf.ShrinkThreshold || (s.reserved > 0 && desired < releaseThreshold))
 	switch {
-	case !s.above.IsZero() && now.Sub(s.above) >= s.conf.GrowDelay:
-		s.n += step(want - float64(s.n))
-		s.above = time.Time{}
-	case !s.below.IsZero() && now.Sub(s.below) >= s.conf.ShrinkDelay:
-		s.n -= step(float64(s.n) - want)
-		s.below = time.Time{}
+	case !s.aboveSince.IsZero() && now.Sub(s.aboveSince) >= s.conf.GrowDelay:
+		s.reserved += stepSize(desired - float64(s.reserved))
+		s.aboveSince = time.Time{}
+	case !s.belowSince.IsZero() && now.Sub(s.belowSince) >= s.conf.ShrinkDelay:
+		s.reserved -= stepSize(float64(s.reserved) - desired)
+		s.belowSince = time.Time{}
 	}
-	s.n = min(s.n, most)
-	return s.n
+	s.reserved = min(s.reserved, limit)
+	return s.reserved
 }
 
-// threshold is how many engines must be wanted for one to be added. The first
-// one comes early: until then long prompts are read by the short ones' engines.
+// threshold returns the desired number of engines above which one is added. The
+// first engine is added early: until then, long prompts run on the engines for
+// short ones.
 func (s *Splitter) threshold() float64 {
-	if s.n == 0 {
-		return first
+	if s.reserved == 0 {
+		return firstThreshold
 	}
-	return float64(s.n) + s.conf.GrowThreshold
+	return float64(s.reserved) + s.conf.GrowThreshold
 }
 
-// want is the long prompts' part of the engines, not rounded. At the start it
-// is held down: one long prompt in the first seconds says little, and engines
-// taken from the short ones for it would be missed.
-func (s *Splitter) want(engines int) float64 {
+// desired returns the long prompts' share of the engines, not rounded. It is
+// scaled down during warm-up: one long prompt in the first seconds is weak
+// evidence, and the short prompts would miss the engines reserved for it.
+func (s *Splitter) desired(engines int) float64 {
 	sum := s.conf.ShortTokenWeight*s.short + s.long
 	if sum <= 0 {
 		return 0
 	}
-	return min(1, s.seen/enough) * float64(engines) * s.long / sum
+	return min(1, s.warmUp/warmUpFraction) * float64(engines) * s.long / sum
 }
 
-// average smooths the load with the time constant.
-func (s *Splitter) average(now time.Time, l Load) {
-	if !s.last.IsZero() {
-		weight := 1 - math.Exp(-now.Sub(s.last).Seconds()/s.conf.SmoothingTime.Seconds())
+// smooth updates the moving averages with the current load.
+func (s *Splitter) smooth(now time.Time, l Load) {
+	if !s.lastUpdate.IsZero() {
+		weight := 1 - math.Exp(-now.Sub(s.lastUpdate).Seconds()/s.conf.SmoothingTime.Seconds())
 		s.short += weight * (l.ShortTokens - s.short)
 		s.long += weight * (l.LongTokens - s.long)
-		s.seen += weight * (1 - s.seen)
+		s.warmUp += weight * (1 - s.warmUp)
 	}
-	s.last = now
+	s.lastUpdate = now
 }
 
-// step moves half of the way and at least one engine.
-func step(gap float64) int {
+// stepSize returns half of the difference, but at least one engine.
+func stepSize(gap float64) int {
 	return max(1, int(gap/2))
 }
 
-func since(was, now time.Time, holds bool) time.Time {
+// trueSince returns the time since which a condition has held, or the zero time
+// if it does not hold.
+func trueSince(previous, now time.Time, holds bool) time.Time {
 	switch {
 	case !holds:
 		return time.Time{}
-	case was.IsZero():
+	case previous.IsZero():
 		return now
 	}
-	return was
+	return previous
 }
 
-// LongPromptEngines chooses which n engines are set apart, by a hash of their names alone:
-// every VM that has the same n chooses the same ones, and another n or another
-// engine moves no more of them than it must.
+// LongPromptEngines selects the n engines reserved for long prompts by a hash
+// of their names alone: every VM with the same n selects the same engines, and
+// a change of n or of the engines moves as few of them as possible.
 func LongPromptEngines(names []string, n int) map[string]bool {
 	if n <= 0 {
 		return map[string]bool{}
--- a/entry/process/splitter/splitter_test.go
+++ b/entry/process/splitter/splitter_test.go
@@ -14,9 +14,10 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// steps plays a load for a time in steps of half a second, and gives the
-// number at the end and how often it changed.
-func steps(s *splitter.Splitter, from time.Time, span time.Duration, load func(time.Time) splitter.Load) (n, changes int, now time.Time) {
+// simulate applies a load for the given time span in steps of half a second. It
+// returns the final number of engines, how often the number changed, and the
+// time at the end.
+func simulate(s *splitter.Splitter, from time.Time, span time.Duration, load func(time.Time) splitter.Load) (n, changes int, now time.Time) {
 	last := -1
 	for now = from; now.Before(from.Add(span)); now = now.Add(time.Second / 2) {
 		n = s.Update(now, load(now))
@@ -28,13 +29,13 @@
 	return n, changes, now
 }
 
-func steady(short, long float64, engines int) func(time.Time) splitter.Load {
+func constantLoad(short, long float64, engines int) func(time.Time) splitter.Load {
 	return func(time.Time) splitter.Load {
 		return splitter.Load{ShortTokens: short, LongTokens: long, Engines: engines}
 	}
 }
 
-func TestSteady(t *testing.T) {
+func TestConstantLoad(t *testing.T) {
 	tests := []struct {
 		name        string
 		short, long float64
@@ -48,44 +49,45 @@
 		{"only long prompts leave one", 0, 1000, 16, 15, 15},
 		{"one engine", 1000, 1000, 1, 0, 0},
 		{"two engines", 1000, 10, 2, 0, 0},
-		{"today's mix", 96, 128, 24, 11, 12},
-		{"at the aim's size", 96, 128, 1000, 470, 472},
+		{"typical mix", 96, 128, 24, 11, 12},
+		{"a thousand engines", 96, 128, 1000, 470, 472},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			n, _, _ := steps(splitter.New(splitter.Config{}), epoch, 2*time.Minute, steady(tt.short, tt.long, tt.engines))
+			n, _, _ := simulate(splitter.New(splitter.Config{}), epoch, 2*time.Minute, constantLoad(tt.short, tt.long, tt.engines))
 			assert.Assert(t, n >= tt.least && n <= tt.most, "%d", n)
 		})
 	}
 }
 
-// The long load goes up and down every few seconds, as single documents do.
-// Without hysteresis engines would change sides each time, and each change
-// must first wait for what runs there.
-func TestSwingingLoadChangesLittle(t *testing.T) {
-	swing := func(now time.Time) splitter.Load {
+// The load from long prompts rises and falls every few seconds, as single
+// documents make it do. Without hysteresis, engines would change sides each
+// time, and each change must wait for the requests running there.
+func TestOscillatingLoadRarelyChangesCount(t *testing.T) {
+	oscillating := func(now time.Time) splitter.Load {
 		long := 1000 + 600*math.Sin(now.Sub(epoch).Seconds())
 		return splitter.Load{ShortTokens: 1000, LongTokens: long, Engines: 16}
 	}
 	s := splitter.New(splitter.Config{})
-	_, _, now := steps(s, epoch, 2*time.Minute, swing)
-	_, changes, _ := steps(s, now, 10*time.Minute, swing)
+	_, _, now := simulate(s, epoch, 2*time.Minute, oscillating)
+	_, changes, _ := simulate(s, now, 10*time.Minute, oscillating)
 	assert.Assert(t, changes <= 1, "%d changes", changes)
 }
 
 func TestFollowsTheLoad(t *testing.T) {
 	s := splitter.New(splitter.Config{})
-	n, _, now := steps(s, epoch, 2*time.Minute, steady(1000, 1000, 16))
+	n, _, now := simulate(s, epoch, 2*time.Minute, constantLoad(1000, 1000, 16))
 	assert.Equal(t, n, 6)
-	n, _, now = steps(s, now, 3*time.Minute, steady(400, 1200, 16))
-	assert.Assert(t, n >= 10 && n <= 11, "up to %d", n)
-	n, _, now = steps(s, now, 10*time.Second, steady(1000, 0, 16))
-	assert.Assert(t, n >= 10, "not down at once, but %d", n)
-	n, _, _ = steps(s, now, 15*time.Minute, steady(1000, 0, 16))
+	n, _, now = simulate(s, now, 3*time.Minute, constantLoad(400, 1200, 16))
+	assert.Assert(t, n >= 10 && n <= 11, "raised to %d", n)
+	n, _, now = simulate(s, now, 10*time.Second, constantLoad(1000, 0, 16))
+	assert.Assert(t, n >= 10, "reduced at once to %d", n)
+	n, _, _ = simulate(s, now, 15*time.Minute, constantLoad(1000, 0, 16))
 	assert.Equal(t, n, 0)
 }
 
-// The number stays within the engines, also as these come and go.
+// The number must stay below the number of engines, also while engines come and
+// go.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := splitter.New(splitter.Config{})
@@ -104,7 +106,7 @@
 	})
 }
 
-func TestLongMovesNoMoreThanItMust(t *testing.T) {
+func TestSelectionIsStable(t *testing.T) {
 	var names []string
 	for i := range 50 {
 		names = append(names, fmt.Sprint("e", i))
@@ -113,7 +115,7 @@
 		less, more := splitter.LongPromptEngines(names, n), splitter.LongPromptEngines(names, n+1)
 		assert.Equal(t, len(less), n)
 		for name := range less {
-			assert.Assert(t, more[name], "%s left when one was added", name)
+			assert.Assert(t, more[name], "%s was removed when an engine was added", name)
 		}
 	}
 	all := splitter.LongPromptEngines(names, 20)
