--- a/entry/process/watcher/watcher.go
+++ b/entry/process/watcher/watcher.go
@@ -1,6 +1,6 @@
-// Package watcher serves what operators and the platform's balancer watch a
-// process by: whether it lives, whether it is ready and why not, its metrics,
-// and its status. It changes nothing.
+// Package watcher serves the HTTP endpoints by which operators and the
+// platform's load balancer monitor a process: liveness, readiness with its
+// reasons, metrics and status. It is read-only.
 package watcher
 
 import (
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// A ReadinessCheck tells whether a part of the process is ready, and why not. A part that
-// is ready may give a reason too, where it does not work as it should.
+// A ReadinessCheck reports whether a part of the process is ready and, if not,
+// why. A part that is ready may also give a reason if it is degraded.
 type ReadinessCheck func() (ready bool, reason string)
 
-// Status is what /status shows.
+// Status is the response body of /status.
 type Status struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
@@ -21,14 +21,16 @@
 	Version uint64 `json:"version"`
 	Ready   bool   `json:"ready"`
 	Reason  string `json:"reason,omitempty"`
-	// Seat is the number of this VM's fixed share, -1 where it has none.
+	// Seat is the number of this VM's fixed share, or -1 if it has none.
 	Seat int `json:"seat"`
-	// Holds are the upstreams that this VM holds.
+	// Holds lists the upstreams that this VM holds.
 	Holds []string `json:"holds"`
-	// Running and Waiting are requests in progress here.
+	// Running and Waiting are the numbers of running and waiting requests on
+	// this VM.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Cancels are streams whose engines have not confirmed their end.
+	// Cancels is the number of streams whose cancel is not confirmed by the
+	// engine.
 	Cancels int `json:"cancels"`
 }
 
@@ -39,43 +41,43 @@
 	mux    *http.ServeMux
 }
 
-// New returns a Watcher. All checks must be ready for the process to be.
+// New returns a Handler. The process is ready if all checks are.
 func New(metrics http.Handler, status func() Status, checks ...ReadinessCheck) *Handler {
 	w := &Handler{checks: checks, status: status, mux: http.NewServeMux()}
-	w.mux.HandleFunc("GET /livez", w.live)
-	w.mux.HandleFunc("GET /readyz", w.ready)
-	w.mux.HandleFunc("GET /status", w.show)
+	w.mux.HandleFunc("GET /livez", w.serveLive)
+	w.mux.HandleFunc("GET /readyz", w.serveReady)
+	w.mux.HandleFunc("GET /status", w.serveStatus)
 	w.mux.Handle("GET /metrics", metrics)
 	return w
 }
 
-// ServeHTTP serves one request.
-func (w *Handler) ServeHTTP(rw http.ResponseWriter, q *http.Request) { w.mux.ServeHTTP(rw, q) }
+// ServeHTTP implements http.Handler.
+func (w *Handler) ServeHTTP(rw http.ResponseWriter, r *http.Request) { w.mux.ServeHTTP(rw, r) }
 
-// Ready tells whether all parts are ready, with every reason that they give.
-// Once one is not, the reasons of those that are stay out.
+// Ready reports whether all parts are ready, and the reasons that they give. If
+// any part is not ready, only the reasons of such parts are returned.
 func (w *Handler) Ready() (ready bool, reason string) {
-	var against, beside []string
+	var failures, warnings []string
 	for _, check := range w.checks {
 		ok, reason := check()
 		switch {
 		case !ok:
-			against = append(against, reason)
+			failures = append(failures, reason)
 		case reason != "":
-			beside = append(beside, reason)
+			warnings = append(warnings, reason)
 		}
 	}
-	if len(against) > 0 {
-		return false, strings.Join(against, "; ")
+	if len(failures) > 0 {
+		return false, strings.Join(failures, "; ")
 	}
-	return true, strings.Join(beside, "; ")
+	return true, strings.Join(warnings, "; ")
 }
 
-func (w *Handler) live(rw http.ResponseWriter, _ *http.Request) {
+func (w *Handler) serveLive(rw http.ResponseWriter, _ *http.Request) {
 	rw.Write([]byte("live\n"))
 }
 
-func (w *Handler) ready(rw http.ResponseWriter, _ *http.Request) {
+func (w *Handler) serveReady(rw http.ResponseWriter, _ *http.Request) {
 	ok, reason := w.Ready()
 	if !ok {
 		rw.WriteHeader(http.StatusServiceUnavailable)
@@ -85,7 +87,7 @@
 	rw.Write([]byte("ready\n"))
 }
 
-func (w *Handler) show(rw http.ResponseWriter, _ *http.Request) {
+func (w *Handler) serveStatus(rw http.ResponseWriter, _ *http.Request) {
 	s := w.status()
 	s.Ready, s.Reason = w.Ready()
 	rw.Header().Set("Content-Type", "application/json")
--- a/entry/process/watcher/watcher_test.go
+++ b/entry/process/watcher/watcher_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestReadiness(t *testing.T) {
-	well := func() (bool, string) { return true, "" }
-	behind := func() (bool, string) { return true, "the log can't be read" }
+	healthy := func() (bool, string) { return true, "" }
+	degraded := func() (bool, string) { return true, "the log can't be read" }
 	leaving := func() (bool, string) { return false, "leaving" }
 	out := func() (bool, string) { return false, "out of service" }
 	for _, c := range []struct {
@@ -22,9 +22,9 @@
 		body   string
 		reason string
 	}{
-		{[]watcher.ReadinessCheck{well, well}, 200, "ready\n", ""},
-		{[]watcher.ReadinessCheck{well, behind}, 200, "ready\n", "the log can't be read"},
-		{[]watcher.ReadinessCheck{behind, leaving, out}, 503, "leaving; out of service\n", "leaving; out of service"},
+		{[]watcher.ReadinessCheck{healthy, healthy}, 200, "ready\n", ""},
+		{[]watcher.ReadinessCheck{healthy, degraded}, 200, "ready\n", "the log can't be read"},
+		{[]watcher.ReadinessCheck{degraded, leaving, out}, 503, "leaving; out of service\n", "leaving; out of service"},
 	} {
 		w := watcher.New(http.NotFoundHandler(), func() watcher.Status { return watcher.Status{ID: "entry-1"} }, c.checks...)
 		got := get(t, w, "/readyz")
