--- a/entry/main.go
+++ b/entry/main.go
@@ -1,5 +1,5 @@
-// Command entry is heathervane itself: the process that runs on each entry VM,
-// between callers and upstreams.
+// Command entry is the heathervane server, which runs on each entry VM between
+// callers and upstreams.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	path := ""
 	check := false
 	flaggy.SetName("heathervane")
-	flaggy.SetDescription("serves callers' requests at a fleet's engines and plain services")
+	flaggy.SetDescription("forwards callers' requests to a fleet's engines and plain services")
 	flaggy.String(&path, "s", "settings", "the settings file, in TOML")
 	flaggy.Bool(&check, "c", "check", "check the settings and exit")
 	flaggy.Parse()
--- a/entry/process/server/configure.go
+++ b/entry/process/server/configure.go
@@ -10,51 +10,53 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// configure puts a state of the configuration in force.
+// configure applies a state of the configuration.
 func (v *Server) configure(s folder.State) {
 	if s.Version == 0 {
 		return
 	}
 	view := viewer.New(s.Version, s.Manifest, func(kind, name string) bool { return s.Out(recorder.Target(kind), name) })
-	if was := v.view.Swap(view); was == nil || was.Version != view.Version {
+	if previous := v.view.Swap(view); previous == nil || previous.Version != view.Version {
 		v.log.Info().Uint64("version", view.Version).Msg("configuration in force")
 	}
 	v.meter.Count("configuration.changes", 1)
 	v.deduplicator.SetLimits(deduplicator.Limits{Window: time.Duration(view.Manifest.Window), MaxClockSkew: deduplicator.DefaultMaxClockSkew})
 	v.coordinator.Configure(upstreams(view), view.Manifest.Seats)
 	if err := v.dispatcher.Configure(view); err != nil {
-		v.log.Error().Err(err).Msg("the configuration could not be put in force")
+		v.log.Error().Err(err).Msg("failed to apply configuration")
 	}
 }
 
-// upstreams are those in service and those out: what still runs at one that is
-// out must be counted until it has ended.
+// upstreams returns the upstreams in service and out of service: requests still
+// running on an upstream that is out of service must be counted until they end.
 func upstreams(v *viewer.View) []coordinator.Upstream {
 	var us []coordinator.Upstream
 	for _, u := range v.Upstreams() {
 		us = append(us, coordinator.Upstream{
 			Name: u.Name, Address: u.Address, Zone: u.Zone, Slots: u.Slots, Cold: u.Cold, Memory: u.Memory, Out: u.OutOfService,
-			Longest: longest(v, u),
+			Longest: maxRequestTime(v, u),
 		})
 	}
 	return us
 }
 
-// longest is the longest time that a request of an upstream may take: so long
-// what a dead VM left at a plain service may still run.
-func longest(v *viewer.View, u viewer.Upstream) time.Duration {
+// maxRequestTime returns the longest time that a request to an upstream may
+// take. A request that a dead VM left at a plain service may still run for that
+// long.
+func maxRequestTime(v *viewer.View, u viewer.Upstream) time.Duration {
 	if u.Service != "" {
 		return time.Duration(v.Manifest.Services[u.Service].Most)
 	}
-	most := time.Duration(0)
+	limit := time.Duration(0)
 	for _, c := range v.Manifest.Classes {
-		most = max(most, time.Duration(c.Most))
+		limit = max(limit, time.Duration(c.Most))
 	}
-	return most
+	return limit
 }
 
-// isOut tells whether operators have taken this VM or its zone out.
-func (v *Server) isOut() bool {
+// outOfService reports whether operators have taken this VM or its zone out of
+// service.
+func (v *Server) outOfService() bool {
 	view := v.view.Load()
 	if view == nil {
 		return false
@@ -62,23 +64,23 @@
 	return view.OutOfService(viewer.KindVM, v.settings.ID) || view.OutOfService(viewer.KindZone, v.settings.Zone)
 }
 
-// configured is the readiness of the configuration.
-func (v *Server) configured() (bool, string) { return v.follower.Ready() }
+// configurationReady is the readiness check of the configuration.
+func (v *Server) configurationReady() (bool, string) { return v.follower.Ready() }
 
-// coordinated is the readiness of lending.
-func (v *Server) coordinated() (bool, string) {
+// coordinationReady is the readiness check of the coordination with other VMs.
+func (v *Server) coordinationReady() (bool, string) {
 	if v.view.Load() == nil {
 		return true, ""
 	}
 	return v.coordinator.Ready()
 }
 
-// serving is the readiness to take work.
-func (v *Server) serving() (bool, string) {
+// serviceReady fails while this VM is leaving or out of service.
+func (v *Server) serviceReady() (bool, string) {
 	if v.leaving.Load() {
 		return false, "leaving"
 	}
-	if v.isOut() {
+	if v.outOfService() {
 		return false, "out of service"
 	}
 	return true, ""
--- a/entry/process/server/coordination.go
+++ b/entry/process/server/coordination.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// sweepEvery is how often a holder looks through its engines' lists for
-	// what processes that are gone have left there.
-	sweepEvery = 2 * time.Second
-	// sweepTime bounds one look.
-	sweepTime = time.Second
-	// firstWindow is how long keys are known until a manifest says so. It is
-	// longer than any manifest's: what the deduplicator forgot under a shorter one
-	// would be missing under the manifest's, and calls refused for it.
-	firstWindow = 30 * 24 * time.Hour
+	// sweepInterval is how often this VM checks the engines that it holds for
+	// streams left behind by stopped processes.
+	sweepInterval = 2 * time.Second
+	// sweepTimeout bounds the sweep of one engine.
+	sweepTimeout = time.Second
+	// initialKeyWindow is how long idempotency keys are remembered until a
+	// manifest sets the window. It is longer than any manifest's: keys that the
+	// deduplicator forgot under a shorter window would be missing under the
+	// manifest's, and calls would be refused for it.
+	initialKeyWindow = 30 * 24 * time.Hour
 )
 
-// newCoordination joins the parts that act together with other VMs.
+// newCoordination creates the parts that coordinate with other VMs.
 func (v *Server) newCoordination(list *lister.List) {
 	s := v.settings
 	address := v.listeners.peers.Addr().String()
@@ -33,28 +34,29 @@
 	v.linker.ServeState(v.snapshot)
 	v.coordinator = coordinator.New(coordinator.Config{
 		VM: s.ID, Zone: s.Zone, Address: address, Boot: v.boot, Timings: coordinator.Today(),
-		Version: v.read, Heard: v.heard,
+		Version: v.readPosition, Heard: v.onHeartbeat,
 	}, coordinator.Deps{
 		Log: v.records, List: list, Links: coordinator.Over(v.linker), Prober: coordinator.NewHTTP(v.upstream),
 		Ticker: v.ticker, Registry: v.meter.Registry(), Logger: v.log,
 	})
 	v.canceller = canceller.New(v.upstream, v.ticker, v.meter.Registry())
-	v.deduplicator = deduplicator.New(deduplicator.Config{VM: s.ID, Boot: v.boot, Limits: deduplicator.Limits{Window: firstWindow, MaxClockSkew: deduplicator.DefaultMaxClockSkew}, MaxStoredBody: deduplicator.DefaultMaxStoredBody}, v.records, v.ticker, v.coordinator.Gone, v.meter)
+	v.deduplicator = deduplicator.New(deduplicator.Config{VM: s.ID, Boot: v.boot, Limits: deduplicator.Limits{Window: initialKeyWindow, MaxClockSkew: deduplicator.DefaultMaxClockSkew}, MaxStoredBody: deduplicator.DefaultMaxStoredBody}, v.records, v.ticker, v.coordinator.Gone, v.meter)
 }
 
-// read is how far this VM has read the configuration, for heartbeats.
-func (v *Server) read() uint64 {
+// readPosition returns how far this VM has read the configuration log, for
+// heartbeats.
+func (v *Server) readPosition() uint64 {
 	if s := v.follower.State(); s != nil {
 		return s.Read
 	}
 	return 0
 }
 
-// sweep looks through the lists of the engines that this VM holds, and cancels
-// what stands there for nobody: a VM that died can cancel nothing itself, and
-// without this its streams keep their memory for ever.
-func (v *Server) sweep(ctx context.Context) {
-	t := time.NewTicker(sweepEvery)
+// runSweeps periodically sweeps the engines that this VM holds and cancels
+// orphaned streams: a VM that died cannot cancel its own, and they would keep
+// their memory forever.
+func (v *Server) runSweeps(ctx context.Context) {
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -75,8 +77,8 @@
 		if u.Model == "" || !v.coordinator.Holds(u.Name) {
 			continue
 		}
-		limited, cancel := context.WithTimeout(ctx, sweepTime)
-		err := v.canceller.Sweep(limited, u.Address, owner{v})
+		limited, cancel := context.WithTimeout(ctx, sweepTimeout)
+		err := v.canceller.Sweep(limited, u.Address, processRegistry{v})
 		cancel()
 		if err != nil {
 			v.meter.Count("sweeps.failed", 1)
@@ -84,18 +86,20 @@
 	}
 }
 
-// owner tells the sweep whose streams an engine has.
-type owner struct {
+// processRegistry implements canceller.ProcessRegistry.
+type processRegistry struct {
 	server *Server
 }
 
-// IsSelf tells whether a process is this one.
-func (o owner) IsSelf(vm string, boot uint64) bool {
+// IsSelf reports whether the process is this one.
+func (o processRegistry) IsSelf(vm string, boot uint64) bool {
 	return vm == o.server.settings.ID && boot == o.server.boot
 }
 
-// InProgress tells whether a stream of this process is in progress.
-func (o owner) InProgress(id string) bool { return o.server.chatter.InProgress(id) }
+// InProgress reports whether a stream of this process is in progress.
+func (o processRegistry) InProgress(id string) bool { return o.server.chatter.InProgress(id) }
 
-// Gone tells that a process has certainly been stopped.
-func (o owner) Gone(vm string, boot uint64) bool { return o.server.coordinator.Gone(vm, boot) }
+// Gone reports whether the process has certainly stopped.
+func (o processRegistry) Gone(vm string, boot uint64) bool {
+	return o.server.coordinator.Gone(vm, boot)
+}
--- a/entry/process/server/fetch.go
+++ b/entry/process/server/fetch.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// fetchTime bounds getting the configuration from a peer.
-	fetchTime = 3 * time.Second
-	// dutyEvery is how often a VM looks whether the configuration must be
-	// written again. dutyJitter spreads the VMs, so that one writes and the
-	// others see that it has.
-	dutyEvery  = 5 * time.Second
-	dutyJitter = 5 * time.Second
-	// dutyTime bounds writing it.
-	dutyTime = 5 * time.Second
+	// fetchTimeout bounds fetching the configuration from another VM.
+	fetchTimeout = 3 * time.Second
+	// checkpointInterval is how often a VM checks whether the configuration
+	// must be written to the log again. checkpointJitter spreads the checks of
+	// the VMs, so that one writes and the others see that it has.
+	checkpointInterval = 5 * time.Second
+	checkpointJitter   = 5 * time.Second
+	// checkpointTimeout bounds writing a checkpoint.
+	checkpointTimeout = 5 * time.Second
 )
 
-// heard hears in a heartbeat how far another VM has read the configuration. A
-// log that is slow or down would leave this VM behind, serving by rules that
-// are no longer in force: it then gets the state from that VM. It must not
-// block the link that it is called from.
-func (v *Server) heard(vm string, read uint64) {
+// onHeartbeat handles how far another VM has read the configuration log, as its
+// heartbeat says. If the log is slow or down, this VM would fall behind and
+// serve by a configuration that is no longer in force, so it fetches the state
+// from the other VM. It is called from a link, which it must not block.
+func (v *Server) onHeartbeat(vm string, read uint64) {
 	if !v.follower.ShouldFetch(read, time.Now()) || !v.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer v.fetching.Store(false)
-		ctx, cancel := context.WithTimeout(context.Background(), fetchTime)
+		ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 		defer cancel()
-		v.fetch(ctx, vm)
+		v.fetchConfiguration(ctx, vm)
 	}()
 }
 
-func (v *Server) fetch(ctx context.Context, vm string) {
+func (v *Server) fetchConfiguration(ctx context.Context, vm string) {
 	data, err := v.linker.FetchState(ctx, vm)
 	if err == nil {
 		_, err = v.follower.ApplySnapshot(data)
@@ -46,7 +46,7 @@
 	v.meter.Count("configuration.fetches", 1)
 }
 
-// snapshot is what a VM that is behind gets from this one.
+// snapshot returns the state that a VM that is behind fetches from this one.
 func (v *Server) snapshot() []byte {
 	data, err := v.follower.Snapshot()
 	if err != nil {
@@ -55,11 +55,12 @@
 	return data
 }
 
-// checkpoints writes the configuration in force to the log again before the log
-// forgets it. Any VM may: two that write the same change nothing.
-func (v *Server) checkpoints(ctx context.Context) {
+// runCheckpoints writes the configuration in force to the log again before the
+// log drops it. Any VM may do so: writing the same configuration twice changes
+// nothing.
+func (v *Server) runCheckpoints(ctx context.Context) {
 	for {
-		t := time.NewTimer(dutyEvery + rand.N(dutyJitter))
+		t := time.NewTimer(checkpointInterval + rand.N(checkpointJitter))
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -69,7 +70,7 @@
 		if !v.follower.CheckpointDue(time.Now()) {
 			continue
 		}
-		limited, cancel := context.WithTimeout(ctx, dutyTime)
+		limited, cancel := context.WithTimeout(ctx, checkpointTimeout)
 		if err := v.follower.WriteCheckpoint(limited); err != nil {
 			v.meter.Count("checkpoints.failed", 1)
 		}
--- a/entry/process/server/listeners.go
+++ b/entry/process/server/listeners.go
@@ -14,17 +14,18 @@
 	"github.com/heathervane/heathervane/entry/process/setter"
 )
 
-// watchTime bounds each request at the watch address.
-const watchTime = 10 * time.Second
+// watchTimeout bounds reading and writing for each request at the watch
+// address.
+const watchTimeout = 10 * time.Second
 
-// listeners are the three addresses that a process listens on.
+// listeners holds the three listeners of a process and the servers on them.
 type listeners struct {
 	callers, peers, watch net.Listener
 	servers               []*http.Server
 }
 
-// open listens on all three, so that a taken port ends the start and not the
-// first request.
+// open listens on all three addresses, so that a port in use fails the start
+// rather than the first request.
 func (s *listeners) open(c setter.Settings) error {
 	var err error
 	if s.callers, err = listen(c.Callers.Address); err != nil {
@@ -41,22 +42,23 @@
 	return new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 }
 
-// serve starts the three servers; the channel tells of one that ended early.
-func (v *Server) serve(parts *sync.WaitGroup) <-chan error {
+// serve starts the three servers. The returned channel receives the error of a
+// server that fails.
+func (v *Server) serve(wg *sync.WaitGroup) <-chan error {
 	callers := &http.Server{
-		Handler: v.drainer, ReadHeaderTimeout: patience, IdleTimeout: idle,
+		Handler: v.drainer, ReadHeaderTimeout: requestReadTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: int(v.settings.Limits.Header), TLSConfig: v.callersTLS,
 	}
-	peers := &http.Server{Handler: v.linker, ReadHeaderTimeout: patience, TLSConfig: v.peersTLS}
-	watch := &http.Server{Handler: v.watcher, ReadTimeout: watchTime, WriteTimeout: watchTime}
+	peers := &http.Server{Handler: v.linker, ReadHeaderTimeout: requestReadTimeout, TLSConfig: v.peersTLS}
+	watch := &http.Server{Handler: v.watcher, ReadTimeout: watchTimeout, WriteTimeout: watchTimeout}
 	v.listeners.servers = []*http.Server{callers, peers, watch}
 	failed := make(chan error, len(v.listeners.servers))
 	for i, l := range []net.Listener{v.listeners.callers, v.listeners.peers, v.listeners.watch} {
 		server := v.listeners.servers[i]
-		// What net/http would print of single connections is counted elsewhere
-		// or of no use: lines are for changes of state.
+		// Discards net/http's messages about single connections, which are
+		// counted elsewhere or of no use: the log is for changes of state.
 		server.ErrorLog = log.New(io.Discard, "", 0)
-		parts.Go(func() {
+		wg.Go(func() {
 			if err := serveOn(server, l); err != nil {
 				failed <- err
 			}
@@ -76,8 +78,8 @@
 	return err
 }
 
-// close ends the servers: callers' connections without a request at once, and
-// the others when theirs has ended.
+// close shuts the servers down: idle connections are closed at once, others
+// when their request ends. When ctx ends, the rest are closed too.
 func (v *Server) close(ctx context.Context) {
 	for _, s := range v.listeners.servers {
 		if err := s.Shutdown(ctx); err != nil {
--- a/entry/process/server/orders.go
+++ b/entry/process/server/orders.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// orderEvery is how often engines are compared with the manifest while
-	// some differ, and orderLook how often all are looked at while none does.
-	orderEvery = time.Second
-	orderLook  = 15 * time.Second
-	// orderTime bounds the reading of a report and the sending of an order.
-	orderTime = time.Second
-	// orderReads is how many reports are read at once.
-	orderReads = 16
-	// maxReport bounds a report in bytes.
-	maxReport = 64 << 10
-	// defaultLoad and defaultLoads stand where the manifest says nothing.
-	defaultLoad  = 2 * time.Minute
-	defaultLoads = 2
+	// orderInterval is how often engines are compared with the manifest while
+	// some of them differ, and orderIdleInterval how often while none does.
+	orderInterval     = time.Second
+	orderIdleInterval = 15 * time.Second
+	// orderTimeout bounds reading an engine's report and sending an order.
+	orderTimeout = time.Second
+	// maxConcurrentReports bounds the reports that are read at once.
+	maxConcurrentReports = 16
+	// maxReportBytes bounds the size of a report.
+	maxReportBytes = 64 << 10
+	// defaultMaxLoadTime and defaultMaxLoads apply where the manifest sets no
+	// value.
+	defaultMaxLoadTime = 2 * time.Minute
+	defaultMaxLoads    = 2
 )
 
-// loadReport is the part of an engine's report that orders rest on.
+// loadReport holds the fields of an engine's report that orders depend on.
 type loadReport struct {
 	Running int    `json:"running"`
 	Waiting int    `json:"waiting"`
@@ -39,7 +40,7 @@
 	Version string `json:"version"`
 }
 
-// orderBody is the body of an order.
+// orderBody is the request body of an order.
 type orderBody struct {
 	Fence   uint64 `json:"fence"`
 	Kind    string `json:"kind"`
@@ -47,12 +48,13 @@
 	Version string `json:"version"`
 }
 
-// orders keeps the engines that this VM holds on the versions of the manifest.
-func (v *Server) orders(ctx context.Context) {
+// runOrders keeps the engines that this VM holds on the versions given in the
+// manifest.
+func (v *Server) runOrders(ctx context.Context) {
 	r := orderer.New(orderer.Config{})
-	t := time.NewTicker(orderEvery)
+	t := time.NewTicker(orderInterval)
 	defer t.Stop()
-	var clean time.Time
+	var upToDateSince time.Time
 	var version uint64
 	for {
 		select {
@@ -61,39 +63,41 @@
 		case <-t.C:
 		}
 		view := v.view.Load()
-		if view == nil || view.Version == version && time.Since(clean) < orderLook {
+		if view == nil || view.Version == version && time.Since(upToDateSince) < orderIdleInterval {
 			continue
 		}
 		version = view.Version
-		r.Configure(orderConfig(view))
-		facts, behind := v.orderFacts(ctx, view)
-		orders := r.Tick(time.Now(), facts)
+		r.Configure(ordererConfig(view))
+		observations, outdated := v.observeEngines(ctx, view)
+		orders := r.Tick(time.Now(), observations)
 		v.dispatcher.Avoid(r.Draining())
-		clean = time.Time{}
-		if behind == 0 {
-			clean = time.Now()
+		upToDateSince = time.Time{}
+		if outdated == 0 {
+			upToDateSince = time.Now()
 		}
 		v.sendOrders(ctx, r, orders)
 	}
 }
 
-func orderConfig(view *viewer.View) orderer.Config {
-	c := orderer.Config{MaxLoads: orderLoads(view), Lease: coordinator.Today().Lease}
+func ordererConfig(view *viewer.View) orderer.Config {
+	c := orderer.Config{MaxLoads: maxLoads(view), Lease: coordinator.Today().Lease}
 	for _, class := range view.Manifest.Classes {
 		c.DrainTimeout = max(c.DrainTimeout, time.Duration(class.Most))
 	}
 	return c
 }
 
-func orderLoads(view *viewer.View) int {
+func maxLoads(view *viewer.View) int {
 	if view.Manifest.Loads > 0 {
 		return view.Manifest.Loads
 	}
-	return defaultLoads
+	return defaultMaxLoads
 }
 
-// orderFacts reads the engines' reports in the order of their names.
-func (v *Server) orderFacts(ctx context.Context, view *viewer.View) (facts []orderer.Observation, behind int) {
+// observeEngines reads the engines' reports. The observations are in the order
+// of the engines' names; outdated counts those engines that do not report the
+// model and version of the manifest.
+func (v *Server) observeEngines(ctx context.Context, view *viewer.View) (observations []orderer.Observation, outdated int) {
 	for _, u := range view.Upstreams() {
 		m := view.Manifest.Models[u.Model]
 		if u.OutOfService || u.Model == "" || m.Version == "" {
@@ -101,30 +105,30 @@
 		}
 		load := time.Duration(m.Load)
 		if load <= 0 {
-			load = defaultLoad
+			load = defaultMaxLoadTime
 		}
-		facts = append(facts, orderer.Observation{Engine: orderer.Engine{
+		observations = append(observations, orderer.Observation{Engine: orderer.Engine{
 			Name: u.Name, Address: u.Address, Model: u.Model, Version: m.Version, MaxLoadTime: load,
 		}})
 	}
-	places := make(chan struct{}, orderReads)
+	semaphore := make(chan struct{}, maxConcurrentReports)
 	var reads sync.WaitGroup
-	for i := range facts {
-		places <- struct{}{}
+	for i := range observations {
+		semaphore <- struct{}{}
 		reads.Go(func() {
-			v.readReport(ctx, &facts[i])
-			<-places
+			v.readReport(ctx, &observations[i])
+			<-semaphore
 		})
 	}
 	reads.Wait()
-	for i := range facts {
-		f := &facts[i]
+	for i := range observations {
+		f := &observations[i]
 		f.Fence, f.Held = v.coordinator.Fence(f.Name)
 		if f.ReportedModel != f.Model || f.ReportedVersion != f.Version {
-			behind++
+			outdated++
 		}
 	}
-	return facts, behind
+	return observations, outdated
 }
 
 func (v *Server) readReport(ctx context.Context, f *orderer.Observation) {
@@ -139,21 +143,21 @@
 	f.ReportedModel, f.ReportedVersion = report.Model, report.Version
 }
 
-// sendOrders sends orders side by side: one behind a slow engine's would be too
-// old to be sent.
+// sendOrders sends orders concurrently: an order queued behind that of a slow
+// engine would be too old to send.
 func (v *Server) sendOrders(ctx context.Context, r *orderer.Orderer, orders []orderer.Order) {
-	answers := make([]orderer.Outcome, len(orders))
+	outcomes := make([]orderer.Outcome, len(orders))
 	var sends sync.WaitGroup
 	for i, o := range orders {
-		sends.Go(func() { answers[i] = v.sendOrder(ctx, o) })
+		sends.Go(func() { outcomes[i] = v.sendOrder(ctx, o) })
 	}
 	sends.Wait()
 	for i, o := range orders {
-		r.RecordOutcome(o, answers[i])
+		r.RecordOutcome(o, outcomes[i])
 	}
 }
 
-// sendOrder sends an order, unless its engine is no longer held as it was.
+// sendOrder sends an order, unless the hold on its engine has changed since.
 func (v *Server) sendOrder(ctx context.Context, o orderer.Order) orderer.Outcome {
 	body := orderBody{Fence: o.Fence, Kind: "load", Model: o.Model, Version: o.Version}
 	request := sling.New().Post("http://" + o.Address + "/v1/orders").BodyJSON(body)
@@ -173,7 +177,7 @@
 		return orderer.Lost
 	case status == http.StatusAccepted:
 		v.meter.Count("orders.accepted", 1)
-		v.log.Info().Str("upstream", o.Name).Str("version", o.Version).Uint64("fence", o.Fence).Msg("engine ordered to load")
+		v.log.Info().Str("upstream", o.Name).Str("version", o.Version).Uint64("fence", o.Fence).Msg("ordered engine to load model version")
 		return orderer.Accepted
 	case refusal.Error.Code == "fence":
 		v.meter.Count("orders.fenced", 1)
@@ -183,9 +187,9 @@
 	return orderer.Refused
 }
 
-// engineCall makes a call and reads its JSON answer.
+// engineCall makes a request and decodes its JSON response into answer.
 func (v *Server) engineCall(ctx context.Context, s *sling.Sling, answer any) (int, error) {
-	limited, cancel := context.WithTimeout(ctx, orderTime)
+	limited, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	request, err := s.Request()
 	if err != nil {
@@ -196,7 +200,7 @@
 		return 0, err
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxReport))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
 	if err != nil {
 		return 0, err
 	}
--- a/entry/process/server/quarantine.go
+++ b/entry/process/server/quarantine.go
@@ -7,9 +7,10 @@
 	"github.com/heathervane/heathervane/entry/process/quarantiner"
 )
 
-// mayTry says that this VM may run a held request once: one of those that live, by a
-// hash, so that a trial costs one upstream.
-func (v *Server) mayTry(f quarantiner.Fingerprint) bool {
+// mayRunTrial reports whether this VM may run a quarantined request once on
+// trial. One of the live VMs is chosen by a hash, so that a trial costs one
+// upstream.
+func (v *Server) mayRunTrial(f quarantiner.Fingerprint) bool {
 	vms := []string{v.settings.ID}
 	for _, m := range v.coordinator.Members() {
 		vms = append(vms, m.VM)
--- a/entry/process/server/secure.go
+++ b/entry/process/server/secure.go
@@ -5,9 +5,9 @@
 	"github.com/heathervane/heathervane/entry/version/reloader"
 )
 
-// secure sets up TLS for callers and between VMs where the settings name
-// certificates. Renewed files are taken up without a restart.
-func (v *Server) secure(s setter.Settings) error {
+// setUpTLS configures TLS for callers and between VMs where the settings name
+// certificates. Renewed files are reloaded without a restart.
+func (v *Server) setUpTLS(s setter.Settings) error {
 	if s.Callers.Certificate != "" {
 		files := reloader.Files{Certificate: s.Callers.Certificate, Key: s.Callers.Key}
 		r, err := reloader.New("callers", files, v.ticker, v.meter.Registry(), v.log)
--- a/entry/process/server/server.go
+++ b/entry/process/server/server.go
@@ -1,5 +1,5 @@
-// Package server joins the parts of one entry VM's process, starts them, and
-// ends them in the order that cuts no request. It decides nothing else.
+// Package server assembles the parts of one entry VM's process, starts them and
+// shuts them down in an order that aborts no request.
 package server
 
 import (
@@ -44,28 +44,29 @@
 )
 
 const (
-	// step is how finely the timer service keeps time.
-	step = 10 * time.Millisecond
-	// pumpEvery bounds how late a waiting request is given up, and how late a
-	// place is used whose return brought no event.
-	pumpEvery = 20 * time.Millisecond
-	// watchEvery is how often engines that have not answered are looked at. A
-	// slow engine must lose its share within 2 s, which takes several looks.
-	watchEvery = 100 * time.Millisecond
-	// patience is how long a request's head and body may each take. Callers
-	// are a few milliseconds away; 30 s lets a million tokens through at 1
-	// Mbit/s and ends who only holds a connection.
-	patience = 30 * time.Second
-	// idle is how long a connection may stand without a request.
-	idle = 2 * time.Minute
-	// mostIdle is how many idle connections are kept to each upstream.
-	mostIdle = 64
-	// dialTime bounds connecting to an upstream: upstreams are a few
-	// milliseconds away, so that a dial of a second has lost its packets.
-	dialTime = time.Second
+	// tickInterval is the resolution of the ticker.
+	tickInterval = 10 * time.Millisecond
+	// pumpInterval bounds how late an expired waiting request is given up, and
+	// how late a slot is used whose release brought no event.
+	pumpInterval = 20 * time.Millisecond
+	// observeInterval is how often engines with overdue responses are checked.
+	// A slow engine must lose its share of requests within 2 s, which takes
+	// several checks.
+	observeInterval = 100 * time.Millisecond
+	// requestReadTimeout bounds reading a request's header, and its body.
+	// Callers are a few milliseconds away; 30 s are enough for a prompt of a
+	// million tokens at 1 Mbit/s, and end connections that are only held open.
+	requestReadTimeout = 30 * time.Second
+	// idleTimeout is how long a connection may stay open without a request.
+	idleTimeout = 2 * time.Minute
+	// maxIdlePerUpstream bounds the idle connections kept to each upstream.
+	maxIdlePerUpstream = 64
+	// dialTimeout bounds connecting to an upstream. Upstreams are a few
+	// milliseconds away, so a dial that takes a second has lost packets.
+	dialTimeout = time.Second
 )
 
-// A Server is one process.
+// A Server is the process of one entry VM.
 type Server struct {
 	settings setter.Settings
 	log      zerolog.Logger
@@ -89,23 +90,24 @@
 
 	callersTLS, peersTLS, linksTLS *tls.Config
 
-	view      atomic.Pointer[viewer.View]
-	leaving   atomic.Bool
-	fetching  atomic.Bool
-	out       outs
-	upstream  *http.Client
-	listeners listeners
+	view         atomic.Pointer[viewer.View]
+	leaving      atomic.Bool
+	fetching     atomic.Bool
+	serviceState serviceState
+	upstream     *http.Client
+	listeners    listeners
 }
 
-// New joins the parts of a process. Its boot number is the time of its start:
-// of two processes under one id the later has the higher.
+// New returns a Server with open listeners that serves nothing yet. Its boot
+// number is its start time, so of two processes with the same id the later one
+// has the higher number.
 func New(s setter.Settings, log zerolog.Logger) (*Server, error) {
 	v := &Server{settings: s, log: log, boot: uint64(time.Now().UnixNano())}
 	v.meter = meter.New()
-	v.ticker = ticker.New(time.Now, step)
+	v.ticker = ticker.New(time.Now, tickInterval)
 	v.upstream = upstreamClient()
 	v.bodies = bounder.New(int64(s.Limits.Bodies))
-	if err := v.secure(s); err != nil {
+	if err := v.setUpTLS(s); err != nil {
 		return nil, err
 	}
 	if err := v.listeners.open(s); err != nil {
@@ -116,7 +118,7 @@
 	v.follower = follower.New(v.records, v.ticker, v.meter.Registry(), log)
 	v.newCoordination(lister.New(s.Platform.List, platform))
 	v.newHandlers()
-	if err := v.gauges(); err != nil {
+	if err := v.registerGauges(); err != nil {
 		return nil, err
 	}
 	return v, nil
@@ -124,18 +126,18 @@
 
 func transport() *http.Transport {
 	return &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dialTime}).DialContext,
-		MaxIdleConnsPerHost: mostIdle,
-		IdleConnTimeout:     idle,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxIdleConnsPerHost: maxIdlePerUpstream,
+		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
 }
 
-// upstreamClient has no timeout of its own: a stream lasts as long as its work,
-// and each request carries its limit.
+// upstreamClient returns a client without an overall timeout: a stream may last
+// as long as its work, and each request carries its own limit.
 func upstreamClient() *http.Client {
-	stay := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &http.Client{Transport: transport(), CheckRedirect: stay}
+	noRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &http.Client{Transport: transport(), CheckRedirect: noRedirects}
 }
 
 func (v *Server) newHandlers() {
@@ -146,18 +148,18 @@
 		Zone: v.settings.Zone, VM: v.settings.ID,
 		Router: string(v.settings.Policy.Router), Queue: string(v.settings.Policy.Queue),
 		Engines: string(v.settings.Policy.Engines),
-	}, supply{v.coordinator}, v.observer, time.Now)
-	bodies := &reader.Reader{MaxBytes: int64(v.settings.Limits.Body), Budget: v.bodies, Timeout: patience}
+	}, coordinatorSupply{v.coordinator}, v.observer, time.Now)
+	bodies := &reader.Reader{MaxBytes: int64(v.settings.Limits.Body), Budget: v.bodies, Timeout: requestReadTimeout}
 	v.keeper = keeper.New(keeper.Deps{Log: v.records, Ticker: v.ticker, Logger: v.log})
-	quarantine := quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: v.log, Broadcast: v.keeper.ScheduleAppend, MayRunTrial: v.mayTry})
+	quarantine := quarantiner.New(quarantiner.Deps{Meter: v.meter, Now: time.Now, Log: v.log, Broadcast: v.keeper.ScheduleAppend, MayRunTrial: v.mayRunTrial})
 	v.keeper.SetQuarantine(quarantine)
 	v.chatter = chatter.New(chatter.Config{VM: v.settings.ID, Boot: v.boot}, chatter.Deps{
 		View: v.view.Load, Reader: bodies, Acquirer: v.dispatcher, Streamer: streamer.New(v.upstream),
-		Canceller: v.canceller, Observer: v.observer, Retrier: newBudget(), Quarantine: quarantine, Meter: v.meter, Now: time.Now,
+		Canceller: v.canceller, Observer: v.observer, Retrier: newRetryBudget(), Quarantine: quarantine, Meter: v.meter, Now: time.Now,
 	})
 	calls := passer.New(v.settings.ID, v.boot, passer.Deps{
 		View: v.view.Load, Reader: bodies, Acquirer: v.dispatcher, Observer: v.observer,
-		Retrier: newBudget(), Deduplicator: v.deduplicator, Quarantine: quarantine, Meter: v.meter, Now: time.Now,
+		Retrier: newRetryBudget(), Deduplicator: v.deduplicator, Quarantine: quarantine, Meter: v.meter, Now: time.Now,
 	})
 	mux := http.NewServeMux()
 	mux.Handle("POST /v1/chat/completions", v.chatter)
@@ -166,17 +168,17 @@
 	mux.Handle(passer.PathPrefix, calls)
 	mux.HandleFunc("/", v.chatter.NotFound)
 	v.drainer = drainer.New(mux, v.settings.Limits.Streams)
-	v.watcher = watcher.New(v.meter.Handler(), v.status, v.configured, v.coordinated, v.serving)
+	v.watcher = watcher.New(v.meter.Handler(), v.status, v.configurationReady, v.coordinationReady, v.serviceReady)
 }
 
-// Run serves until the context ends, then leaves without cutting a request. The
-// line that tells its addresses goes to out.
+// Run serves until ctx ends, then shuts down without aborting requests. It
+// writes the addresses that it listens on to out, as one line of JSON.
 func (v *Server) Run(ctx context.Context, out io.Writer) error {
-	inner, stop := context.WithCancel(context.Background())
+	background, stop := context.WithCancel(context.Background())
 	defer stop()
-	var parts sync.WaitGroup
-	v.background(inner, &parts)
-	failed := v.serve(&parts)
+	var wg sync.WaitGroup
+	v.startBackground(background, &wg)
+	failed := v.serve(&wg)
 	if err := v.announce(out); err != nil {
 		return err
 	}
@@ -184,40 +186,40 @@
 	select {
 	case err := <-failed:
 		stop()
-		parts.Wait()
+		wg.Wait()
 		return err
 	case <-ctx.Done():
 	}
-	v.leave()
+	v.shutDown()
 	stop()
-	parts.Wait()
+	wg.Wait()
 	v.log.Info().Msg("stopped")
 	return nil
 }
 
-// background starts the parts that work beside requests.
-func (v *Server) background(ctx context.Context, parts *sync.WaitGroup) {
+// startBackground starts the parts that run alongside requests.
+func (v *Server) startBackground(ctx context.Context, wg *sync.WaitGroup) {
 	v.follower.Subscribe(v.configure)
-	v.ticker.Subscribe(pumpEvery, func(time.Time) { v.dispatcher.Pump() })
-	v.ticker.Subscribe(watchEvery, v.observer.Tick)
-	v.subscribeOut()
+	v.ticker.Subscribe(pumpInterval, func(time.Time) { v.dispatcher.Pump() })
+	v.ticker.Subscribe(observeInterval, v.observer.Tick)
+	v.subscribeServiceState()
 	for _, run := range []func(context.Context){
-		v.ticker.Run, v.follower.Run, v.pumpOnChange, v.sweep, v.checkpoints, v.orders, v.keeper.Run,
+		v.ticker.Run, v.follower.Run, v.pumpOnChange, v.runSweeps, v.runCheckpoints, v.runOrders, v.keeper.Run,
 	} {
-		parts.Go(func() { run(ctx) })
+		wg.Go(func() { run(ctx) })
 	}
 	for name, run := range map[string]func(context.Context) error{
 		"coordinator": v.coordinator.Run, "deduplicator": v.deduplicator.Run,
 	} {
-		parts.Go(func() {
+		wg.Go(func() {
 			if err := run(ctx); err != nil && ctx.Err() == nil {
-				v.log.Error().Err(err).Str("part", name).Msg("a part ended early")
+				v.log.Error().Err(err).Str("part", name).Msg("background part failed")
 			}
 		})
 	}
 }
 
-// pumpOnChange places waiting requests when lent slots arrive.
+// pumpOnChange dispatches waiting requests when lent slots arrive.
 func (v *Server) pumpOnChange(ctx context.Context) {
 	for {
 		select {
@@ -229,8 +231,9 @@
 	}
 }
 
-// A line is what the process prints when it listens, for whoever started it.
-type line struct {
+// startupInfo is printed once the process listens, for the program that started
+// it.
+type startupInfo struct {
 	ID      string `json:"id"`
 	Callers string `json:"callers"`
 	Peers   string `json:"peers"`
@@ -239,33 +242,33 @@
 }
 
 func (v *Server) announce(out io.Writer) error {
-	return json.NewEncoder(out).Encode(line{
+	return json.NewEncoder(out).Encode(startupInfo{
 		ID: v.settings.ID, Callers: v.listeners.callers.Addr().String(), Peers: v.listeners.peers.Addr().String(),
 		Watch: v.listeners.watch.Addr().String(), PID: os.Getpid(),
 	})
 }
 
-// newBudget returns a retry budget. Each handler has its own, so that a failing
-// service takes no retries from questions.
-func newBudget() *budget {
-	return &budget{retrier: retrier.New(retrier.Config{}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))}
+// newRetryBudget returns a retry budget. Each handler has its own, so that a
+// failing service takes no retries from chat requests.
+func newRetryBudget() *retryBudget {
+	return &retryBudget{retrier: retrier.New(retrier.Config{}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))}
 }
 
-// A budget is a retrier that many requests use at once.
-type budget struct {
+// A retryBudget is a retrier.Retrier that is safe for concurrent use.
+type retryBudget struct {
 	mu      sync.Mutex
 	retrier *retrier.Retrier
 }
 
-// Decide says whether a failed attempt is made again.
-func (b *budget) Decide(now time.Time, a retrier.Attempt) retrier.Decision {
+// Decide decides whether a failed attempt is retried.
+func (b *retryBudget) Decide(now time.Time, a retrier.Attempt) retrier.Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.retrier.Decide(now, a)
 }
 
-// Completed counts answered requests.
-func (b *budget) Completed(n int) {
+// Completed counts completed requests.
+func (b *retryBudget) Completed(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.retrier.Completed(n)
--- a/entry/process/server/status.go
+++ b/entry/process/server/status.go
@@ -6,7 +6,7 @@
 	"github.com/heathervane/heathervane/entry/process/watcher"
 )
 
-// status is what /status shows.
+// status returns the response body of /status.
 func (v *Server) status() watcher.Status {
 	s := watcher.Status{
 		ID: v.settings.ID, Zone: v.settings.Zone, Boot: v.boot, Seat: -1, Holds: []string{},
@@ -28,8 +28,8 @@
 	return s
 }
 
-// gauges shows values that are read when a scraper asks.
-func (v *Server) gauges() error {
+// registerGauges registers the metrics whose values are read at each scrape.
+func (v *Server) registerGauges() error {
 	values := map[string]func() int64{
 		"requests.running": func() int64 { return int64(v.drainer.Running()) },
 		"requests.waiting": func() int64 { return int64(v.dispatcher.Waiting()) },
--- a/entry/process/server/supply.go
+++ b/entry/process/server/supply.go
@@ -8,13 +8,13 @@
 	"github.com/heathervane/heathervane/entry/process/member"
 )
 
-// supply shows the coordinator to the dispatcher.
-type supply struct {
+// coordinatorSupply adapts the coordinator to the dispatcher.
+type coordinatorSupply struct {
 	coordinator *coordinator.Coordinator
 }
 
-// Supply is what this VM may use of an upstream.
-func (s supply) Supply(upstream string) dispatcher.Supply {
+// Supply returns what this VM may use of an upstream.
+func (s coordinatorSupply) Supply(upstream string) dispatcher.Supply {
 	v := s.coordinator.View(upstream)
 	return dispatcher.Supply{
 		Free: v.Free, Slots: v.Slots, Mine: v.Mine, Cold: v.Cold, Boot: v.Boot,
@@ -23,23 +23,23 @@
 	}
 }
 
-// Take takes a place.
-func (s supply) Take(upstream string, tokens int) (dispatcher.Slot, bool) {
+// Take acquires a slot on an upstream.
+func (s coordinatorSupply) Take(upstream string, tokens int) (dispatcher.Slot, bool) {
 	slot, ok := s.coordinator.Take(upstream, tokens)
 	if !ok {
 		return nil, false
 	}
-	return place{slot}, true
+	return lentSlot{slot}, true
 }
 
-// Want tells how many more places could be used.
-func (s supply) Want(upstream string, n int) { s.coordinator.Want(upstream, n) }
+// Want tells the coordinator how many more slots could be used.
+func (s coordinatorSupply) Want(upstream string, n int) { s.coordinator.Want(upstream, n) }
 
-// Need asks for memory beside what is held.
-func (s supply) Need(upstream string, tokens int) { s.coordinator.Need(upstream, tokens) }
+// Need asks the coordinator for memory in addition to what is held.
+func (s coordinatorSupply) Need(upstream string, tokens int) { s.coordinator.Need(upstream, tokens) }
 
-// VMs are the entry VMs that live.
-func (s supply) VMs() []string {
+// VMs returns the live entry VMs, sorted by name.
+func (s coordinatorSupply) VMs() []string {
 	var vms []string
 	for _, m := range s.coordinator.Members() {
 		if m.State == member.Live {
@@ -50,19 +50,19 @@
 	return vms
 }
 
-// place is a slot of the coordinator's.
-type place struct {
+// lentSlot adapts a coordinator slot to the dispatcher.
+type lentSlot struct {
 	slot *coordinator.Slot
 }
 
-// Boot is the upstream's boot number that it was lent under.
-func (p place) Boot() uint64 { return p.slot.Boot }
+// Boot returns the boot number of the upstream for which the slot was lent.
+func (p lentSlot) Boot() uint64 { return p.slot.Boot }
 
-// Live tells whether work may still be sent on it.
-func (p place) Live() bool { return p.slot.Live() }
+// Live reports whether requests may still be sent on the slot.
+func (p lentSlot) Live() bool { return p.slot.Live() }
 
-// Done gives it back.
-func (p place) Done(o dispatcher.Outcome) { p.slot.Done(outcomes[o]) }
+// Done returns the slot with the outcome of its request.
+func (p lentSlot) Done(o dispatcher.Outcome) { p.slot.Done(outcomes[o]) }
 
 var outcomes = map[dispatcher.Outcome]coordinator.Outcome{
 	dispatcher.Completed: coordinator.Completed,
