--- a/entry/connection/streamer/stream.go
+++ b/entry/connection/streamer/stream.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	// mostAhead bounds the tokens held back while an earlier one is missing.
-	// An engine sends tens of tokens a second, so that this many stand for
-	// seconds of waiting: the missing one was lost, and resuming is quicker.
-	mostAhead = 64
-	// lineSize is the longest line of an engine's stream, in bytes.
-	lineSize = 64 << 10
+	// maxOutOfOrder is the maximum number of tokens buffered while an earlier one
+	// is missing. Engines send tens of tokens per second, so a full buffer means
+	// seconds of waiting: the missing token was lost, and resuming is faster.
+	maxOutOfOrder = 64
+	// maxLineSize is the maximum length of a line in an engine's stream, in bytes.
+	maxLineSize = 64 << 10
 )
 
-// ErrInterrupted is a stream that ended before its answer did; it can be resumed.
+// ErrInterrupted reports a stream that ended before the response was complete. The
+// stream can be resumed.
 var ErrInterrupted = Error.New("cut before its end")
 
-// A Token is one token of an answer.
+// A Token is one token of a response.
 type Token struct {
 	// Number counts from 1.
 	Number uint64
-	// Text is a JSON string, as the engine sent it: it goes to the caller
-	// inside JSON again, and decoding it in between would be for nothing.
+	// Text is the JSON string that the engine sent. It is not decoded, because it
+	// is sent to the caller as JSON again.
 	Text json.RawMessage
 }
 
-// An Summary is what an engine says at the end of a whole answer.
+// A Summary holds the token counts and the finish reason that an engine sends at
+// the end of a complete response.
 type Summary struct {
 	Tokens uint64 `json:"tokens"`
 	Prompt int    `json:"prompt"`
@@ -40,19 +42,19 @@
 	Reason string `json:"reason"`
 }
 
-// A Stream is the answer to one job.
+// A Stream is the streamed response to one job.
 type Stream struct {
 	// Boot is the engine's boot number.
 	Boot uint64
 
-	streamer *Streamer
-	address  string
-	id       string
-	body     io.ReadCloser
-	lines    *bufio.Reader
-	last     uint64
-	ahead    map[uint64]json.RawMessage
-	end      *Summary
+	streamer      *Streamer
+	address       string
+	id            string
+	body          io.ReadCloser
+	reader        *bufio.Reader
+	lastDelivered uint64
+	outOfOrder    map[uint64]json.RawMessage
+	summary       *Summary
 }
 
 type event struct {
@@ -61,77 +63,78 @@
 	data []byte
 }
 
-func newStream(s *Streamer, address, id string, answer *http.Response) *Stream {
-	t := &Stream{streamer: s, address: address, id: id, ahead: make(map[uint64]json.RawMessage)}
-	t.attach(answer)
+func newStream(s *Streamer, address, id string, resp *http.Response) *Stream {
+	t := &Stream{streamer: s, address: address, id: id, outOfOrder: make(map[uint64]json.RawMessage)}
+	t.attach(resp)
 	return t
 }
 
-func (t *Stream) attach(answer *http.Response) {
-	t.body = answer.Body
-	t.Boot = boot(answer)
-	if t.lines == nil {
-		t.lines = bufio.NewReaderSize(answer.Body, 4<<10)
+func (t *Stream) attach(resp *http.Response) {
+	t.body = resp.Body
+	t.Boot = parseBoot(resp)
+	if t.reader == nil {
+		t.reader = bufio.NewReaderSize(resp.Body, 4<<10)
 		return
 	}
-	t.lines.Reset(answer.Body)
+	t.reader.Reset(resp.Body)
 }
 
-// Next returns the next token. Its text is good until the call after. The
-// error is io.EOF after the last token of a whole answer, and ErrCut where the
-// stream ended or broke before that.
+// Next returns the next token, whose text is valid until the next call. The error is
+// io.EOF after the last token of a complete response, and ErrInterrupted if the stream
+// ended or broke before that.
 func (t *Stream) Next() (Token, error) {
 	for {
-		if text, ok := t.ahead[t.last+1]; ok {
-			delete(t.ahead, t.last+1)
-			t.last++
-			return Token{Number: t.last, Text: text}, nil
+		if text, ok := t.outOfOrder[t.lastDelivered+1]; ok {
+			delete(t.outOfOrder, t.lastDelivered+1)
+			t.lastDelivered++
+			return Token{Number: t.lastDelivered, Text: text}, nil
 		}
-		if t.end != nil && t.last == t.end.Tokens {
+		if t.summary != nil && t.lastDelivered == t.summary.Tokens {
 			return Token{}, io.EOF
 		}
-		e, err := t.read()
+		e, err := t.readEvent()
 		if err != nil {
 			return Token{}, err
 		}
-		token, ok, err := t.take(e)
+		token, ok, err := t.handleEvent(e)
 		if err != nil || ok {
 			return token, err
 		}
 	}
 }
 
-// take sorts an event in. An answer may come doubled or out of order after a
-// resume, and a caller who saw a token twice would have a wrong answer.
-func (t *Stream) take(e event) (Token, bool, error) {
+// handleEvent processes an event, and returns its token if that is the next one in
+// order. After a resume, tokens may be duplicated or out of order; a caller that
+// received a token twice would have a wrong response.
+func (t *Stream) handleEvent(e event) (Token, bool, error) {
 	if e.kind == "done" {
-		var end Summary
-		if err := json.Unmarshal(e.data, &end); err != nil {
+		var summary Summary
+		if err := json.Unmarshal(e.data, &summary); err != nil {
 			return Token{}, false, ErrInterrupted
 		}
-		t.end = &end
+		t.summary = &summary
 		return Token{}, false, nil
 	}
-	if e.kind != "" || e.id <= t.last {
+	if e.kind != "" || e.id <= t.lastDelivered {
 		return Token{}, false, nil
 	}
-	text, err := tokenText(e.data)
+	text, err := extractText(e.data)
 	if err != nil {
 		return Token{}, false, ErrInterrupted
 	}
-	if e.id == t.last+1 {
-		t.last++
-		return Token{Number: t.last, Text: text}, true, nil
+	if e.id == t.lastDelivered+1 {
+		t.lastDelivered++
+		return Token{Number: t.lastDelivered, Text: text}, true, nil
 	}
-	if len(t.ahead) >= mostAhead {
+	if len(t.outOfOrder) >= maxOutOfOrder {
 		return Token{}, false, ErrInterrupted
 	}
-	t.ahead[e.id] = bytes.Clone(text)
+	t.outOfOrder[e.id] = bytes.Clone(text)
 	return Token{}, false, nil
 }
 
-// tokenText takes the JSON string out of {"text":"…"} without decoding it.
-func tokenText(data []byte) (json.RawMessage, error) {
+// extractText returns the JSON string in {"text":"…"} without decoding it.
+func extractText(data []byte) (json.RawMessage, error) {
 	const head, tail = `{"text":`, '}'
 	if !bytes.HasPrefix(data, []byte(head)) || data[len(data)-1] != tail {
 		var v struct {
@@ -147,12 +150,12 @@
 	return text, nil
 }
 
-// read reads one event of the stream.
-func (t *Stream) read() (event, error) {
+// readEvent reads the next server-sent event.
+func (t *Stream) readEvent() (event, error) {
 	var e event
 	seen := false
 	for {
-		line, err := t.line()
+		line, err := t.readLine()
 		if err != nil {
 			return e, err
 		}
@@ -176,17 +179,17 @@
 		case "event":
 			e.kind = string(value)
 		case "data":
-			// The reader's buffer is used again for the next line.
+			// The value must be copied: the reader reuses its buffer for the next line.
 			e.data = append(e.data, value...)
 			seen = true
 		}
 	}
 }
 
-func (t *Stream) line() ([]byte, error) {
-	line, err := t.lines.ReadSlice('\n')
+func (t *Stream) readLine() ([]byte, error) {
+	line, err := t.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		line, err = t.long(line)
+		line, err = t.readLongLine(line)
 	}
 	if err != nil {
 		return nil, ErrInterrupted
@@ -194,10 +197,10 @@
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-func (t *Stream) long(start []byte) ([]byte, error) {
-	line := bytes.Clone(start)
-	for len(line) < lineSize {
-		more, err := t.lines.ReadSlice('\n')
+func (t *Stream) readLongLine(prefix []byte) ([]byte, error) {
+	line := bytes.Clone(prefix)
+	for len(line) < maxLineSize {
+		more, err := t.reader.ReadSlice('\n')
 		line = append(line, more...)
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return line, err
@@ -206,35 +209,36 @@
 	return nil, ErrInterrupted
 }
 
-// Resume connects again after ErrCut. It returns ErrGone where the engine has
-// lost the stream, such as after its death.
+// Resume reconnects after ErrInterrupted. It returns ErrGone if the engine no longer
+// has the stream, for example after a restart.
 func (t *Stream) Resume(ctx context.Context) error {
 	t.body.Close()
-	was := t.Boot
-	answer, err := t.streamer.resume(ctx, t.address, t.id, t.last) //nolint:bodyclose // the stream closes it
+	previousBoot := t.Boot
+	resp, err := t.streamer.resume(ctx, t.address, t.id, t.lastDelivered) //nolint:bodyclose // closed by Stream.Close
 	if err != nil {
 		return err
 	}
-	t.end = nil
-	clear(t.ahead)
-	t.attach(answer)
-	if t.Boot != was {
-		// Another process under the same address cannot have this stream:
-		// what it would send belongs to somebody else.
+	t.summary = nil
+	clear(t.outOfOrder)
+	t.attach(resp)
+	if t.Boot != previousBoot {
+		// Another process at the same address cannot have this stream; what it
+		// sends belongs to another caller.
 		return ErrGone
 	}
 	return nil
 }
 
-// Last is the number of the last token delivered.
-func (t *Stream) Last() uint64 { return t.last }
+// LastDelivered returns the number of the last token that Next returned.
+func (t *Stream) LastDelivered() uint64 { return t.lastDelivered }
 
-// Summary is what the engine said at the end; nil before io.EOF.
-func (t *Stream) Summary() *Summary { return t.end }
+// Summary returns what the engine sent at the end of the response. It is nil before
+// Next has returned io.EOF.
+func (t *Stream) Summary() *Summary { return t.summary }
 
-// Buffered tells whether more of the stream has come already, so that Next
-// will not wait.
-func (t *Stream) Buffered() bool { return t.lines.Buffered() > 0 }
+// Buffered reports whether more of the stream has been received already, so that
+// Next need not wait for the network.
+func (t *Stream) Buffered() bool { return t.reader.Buffered() > 0 }
 
-// Close ends the connection. It does not cancel the stream at the engine.
+// Close closes the connection. It does not cancel the stream on the engine.
 func (t *Stream) Close() { t.body.Close() }
--- a/entry/connection/streamer/streamer.go
+++ b/entry/connection/streamer/streamer.go
@@ -1,7 +1,8 @@
-// Package streamer opens token streams at engines and reads them in order. A
-// stream that was cut is resumed at the token after the last one delivered, and
-// tokens that come doubled or out of order are put right: a caller sees each
-// token once and in its place. It does not choose engines and does not cancel.
+// Package streamer opens token streams on engines and reads them in order. A stream
+// that was interrupted is resumed at the token after the last one delivered.
+// Duplicate tokens are dropped and tokens out of order are reordered, so that a
+// caller receives each token once and in order. The package neither chooses engines
+// nor cancels streams.
 package streamer
 
 import (
@@ -20,22 +21,24 @@
 	"github.com/zeebo/errs"
 )
 
-// Headers of engines' answers.
+// Headers of engines' responses.
 const (
 	bootHeader = "Upstream-Boot"
 	ranHeader  = "Ran"
 )
 
-// mostRefusal bounds how much of a refusal's body is read, in bytes.
-const mostRefusal = 16 << 10
+// maxBodySize is the maximum number of bytes read from the body of a response that is
+// not a stream.
+const maxBodySize = 16 << 10
 
-// Error is the class of what goes wrong between an entry VM and an engine.
+// Error is the class of errors between an entry VM and an engine.
 var Error = errs.Class("stream")
 
-// ErrGone is a stream that the engine no longer has.
+// ErrGone reports a stream that the engine no longer has.
 var ErrGone = Error.New("the engine no longer has it")
 
-// A Job is what an engine is asked to do.
+// A Job is a request to an engine: to generate a response, or to process one part of
+// a prompt.
 type Job struct {
 	ID              string   `json:"id"`
 	VM              string   `json:"vm"`
@@ -48,139 +51,140 @@
 	Imports         []Import `json:"imports,omitempty"`
 }
 
-// An Import names a part of a prompt that another engine of a group holds.
+// An Import refers to a part of a prompt that another engine of the group has
+// processed and keeps.
 type Import struct {
 	Address string `json:"address"`
 	Handle  string `json:"handle"`
 }
 
-// A RefusedError is an engine's answer that it did not take a job.
+// A RefusedError reports that an engine refused a job or could not be reached.
 type RefusedError struct {
-	Status int
-	Code   string
-	Text   string
-	// MayHaveRun is false only where the engine itself says that nothing ran, or
-	// where no byte of the job can have reached it.
+	Status  int
+	Code    string
+	Message string
+	// MayHaveRun is false only if the engine itself states that nothing ran, or if
+	// no byte of the job can have reached it.
 	MayHaveRun bool
-	// Boot is the engine's boot number, 0 where unknown.
+	// Boot is the engine's boot number, or 0 if it is not known.
 	Boot uint64
 }
 
-// Error gives the refusal on one line.
+// Error returns the refusal on one line.
 func (r *RefusedError) Error() string {
-	return fmt.Sprintf("the engine refused with %d %s: %s", r.Status, r.Code, r.Text)
+	return fmt.Sprintf("the engine refused with %d %s: %s", r.Status, r.Code, r.Message)
 }
 
-// A Streamer opens streams.
+// A Streamer sends jobs to engines and opens their streams.
 type Streamer struct {
 	client *http.Client
 }
 
-// New returns a Streamer over an HTTP client that must not follow redirects
-// and must not have a timeout of its own: streams last as long as the work.
+// New returns a Streamer that uses an HTTP client. The client must not follow
+// redirects, and must not have a timeout: a stream lasts as long as its job.
 func New(client *http.Client) *Streamer {
 	return &Streamer{client: client}
 }
 
-// Open sends a job to the engine at an address. An error is a *Refused, or
-// tells that the job may have been taken.
-func (s *Streamer) Open(ctx context.Context, address string, j Job) (*Stream, error) {
-	answer, err := s.post(ctx, address, "/v1/generate", j) //nolint:bodyclose // the stream closes it
+// Open sends a job to the engine at an address. If the error is not a *RefusedError,
+// the engine may have accepted the job.
+func (s *Streamer) Open(ctx context.Context, address string, job Job) (*Stream, error) {
+	resp, err := s.post(ctx, address, "/v1/generate", job) //nolint:bodyclose // closed by Stream.Close
 	if err != nil {
 		return nil, err
 	}
-	return newStream(s, address, j.ID, answer), nil
+	return newStream(s, address, job.ID, resp), nil
 }
 
-// PrefillPart has an engine read one part of a prompt and keep it. It returns the
-// handle under which the group's next engine imports it.
-func (s *Streamer) PrefillPart(ctx context.Context, address string, j Job) (string, error) {
-	answer, err := s.post(ctx, address, "/v1/parts", j)
+// PrefillPart has an engine process one part of a prompt and keep the result. It
+// returns the handle with which the group's next engine imports that result.
+func (s *Streamer) PrefillPart(ctx context.Context, address string, job Job) (string, error) {
+	resp, err := s.post(ctx, address, "/v1/parts", job)
 	if err != nil {
 		return "", err
 	}
-	defer answer.Body.Close()
+	defer resp.Body.Close()
 	var p struct {
 		Handle string `json:"handle"`
 	}
-	if err := json.NewDecoder(io.LimitReader(answer.Body, mostRefusal)).Decode(&p); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxBodySize)).Decode(&p); err != nil {
 		return "", Error.Wrap(err)
 	}
 	return p.Handle, nil
 }
 
-func (s *Streamer) post(ctx context.Context, address, path string, j Job) (*http.Response, error) {
-	body, err := json.Marshal(j)
+func (s *Streamer) post(ctx context.Context, address, path string, job Job) (*http.Response, error) {
+	body, err := json.Marshal(job)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	// A job may be called "not run" only while no connection was there to
-	// carry it: after that a byte may have left, whatever error follows.
+	// A job may be reported as "not run" only if no connection was obtained for it.
+	// Once there is one, a byte may have been sent, whatever error follows.
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	u := "http://" + address + path
-	q, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, u, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, u, bytes.NewReader(body))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	q.Header.Set("Content-Type", "application/json")
-	answer, err := s.client.Do(q)
+	req.Header.Set("Content-Type", "application/json")
+	resp, err := s.client.Do(req)
 	if err != nil && !connected.Load() {
-		return nil, &RefusedError{Code: "unreached", Text: err.Error()}
+		return nil, &RefusedError{Code: "unreached", Message: err.Error()}
 	}
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if answer.StatusCode != http.StatusOK {
-		return nil, refused(answer)
+	if resp.StatusCode != http.StatusOK {
+		return nil, newRefusedError(resp)
 	}
-	return answer, nil
+	return resp, nil
 }
 
-func refused(answer *http.Response) error {
-	defer answer.Body.Close()
-	var b struct {
+func newRefusedError(resp *http.Response) error {
+	defer resp.Body.Close()
+	var envelope struct {
 		Error struct {
 			Code    string `json:"code"`
 			Message string `json:"message"`
 		} `json:"error"`
 	}
-	data, err := io.ReadAll(io.LimitReader(answer.Body, mostRefusal))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBodySize))
 	if err == nil {
-		err = json.Unmarshal(data, &b)
+		err = json.Unmarshal(data, &envelope)
 	}
-	r := &RefusedError{Status: answer.StatusCode, Code: b.Error.Code, Text: b.Error.Message}
+	r := &RefusedError{Status: resp.StatusCode, Code: envelope.Error.Code, Message: envelope.Error.Message}
 	if err != nil {
-		r.Code, r.Text = "unclear", "the refusal could not be read"
+		r.Code, r.Message = "unclear", "the refusal could not be read"
 	}
-	r.MayHaveRun = answer.Header.Get(ranHeader) != "no"
-	r.Boot = boot(answer)
+	r.MayHaveRun = resp.Header.Get(ranHeader) != "no"
+	r.Boot = parseBoot(resp)
 	return r
 }
 
-func boot(answer *http.Response) uint64 {
-	n, err := strconv.ParseUint(answer.Header.Get(bootHeader), 10, 64)
+func parseBoot(resp *http.Response) uint64 {
+	n, err := strconv.ParseUint(resp.Header.Get(bootHeader), 10, 64)
 	if err != nil {
 		return 0
 	}
 	return n
 }
 
-// resume opens a stream again after the last token delivered.
+// resume reopens a stream after the last token delivered.
 func (s *Streamer) resume(ctx context.Context, address, id string, from uint64) (*http.Response, error) {
 	u := "http://" + address + "/v1/streams/" + url.PathEscape(id) + "?from=" + strconv.FormatUint(from, 10)
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, u, http.NoBody)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, http.NoBody)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	answer, err := s.client.Do(q)
+	resp, err := s.client.Do(req)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if answer.StatusCode == http.StatusOK {
-		return answer, nil
+	if resp.StatusCode == http.StatusOK {
+		return resp, nil
 	}
-	err = refused(answer)
+	err = newRefusedError(resp)
 	var r *RefusedError
 	if errors.As(err, &r) && r.Status == http.StatusNotFound {
 		return nil, ErrGone
--- a/entry/connection/streamer/streamer_test.go
+++ b/entry/connection/streamer/streamer_test.go
@@ -15,9 +15,9 @@
 	"github.com/heathervane/heathervane/entry/connection/streamer"
 )
 
-// answers serves one text after another, with the same boot number unless a
-// text begins with "boot N;".
-func answers(t *testing.T, texts ...string) (string, *streamer.Streamer) {
+// startEngine starts an engine that responds to each request with the next text. The
+// boot number is 7 unless a text begins with "boot N;".
+func startEngine(t *testing.T, texts ...string) (string, *streamer.Streamer) {
 	t.Helper()
 	n := 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -39,7 +39,7 @@
 	return strings.TrimPrefix(s.URL, "http://"), streamer.New(s.Client())
 }
 
-func tokens(numbers ...int) string {
+func tokenEvents(numbers ...int) string {
 	var b strings.Builder
 	for _, n := range numbers {
 		fmt.Fprintf(&b, "id: %d\ndata: {\"text\":\"t%d \"}\n\n", n, n)
@@ -47,12 +47,12 @@
 	return b.String()
 }
 
-func done(n int) string {
+func doneEvent(n int) string {
 	return fmt.Sprintf("event: done\ndata: {\"tokens\":%d,\"prompt\":3,\"reason\":\"stop\"}\n\n", n)
 }
 
-// read takes an answer to its end, resuming where it is cut.
-func read(s *streamer.Stream) (string, error) {
+// readAll reads a response to its end and resumes it when it is interrupted.
+func readAll(s *streamer.Stream) (string, error) {
 	var b strings.Builder
 	for {
 		t, err := s.Next()
@@ -69,9 +69,8 @@
 	}
 }
 
-// An engine's tokens come late, doubled, out of order, or in two halves when a
-// connection breaks. A sacristan would read a sentence twice, or miss the line
-// with the date.
+// Tokens arrive late, duplicated, out of order, or in two halves if a connection
+// breaks. A caller that received them like this would get duplicated or missing text.
 func TestTokensAreInOrderAndOnce(t *testing.T) {
 	const whole = `"t1 ""t2 ""t3 ""t4 "`
 	tests := []struct {
@@ -80,35 +79,34 @@
 		want  string
 		err   error
 	}{
-		{"plain", []string{tokens(1, 2, 3, 4) + done(4)}, whole, nil},
-		{"doubled", []string{tokens(1, 1, 2, 3, 2, 3, 4) + done(4)}, whole, nil},
-		{"out of order", []string{tokens(2, 1, 4, 3) + done(4)}, whole, nil},
-		{"end before the last token", []string{tokens(1, 2, 4) + done(4) + tokens(3)}, whole, nil},
-		{"cut and resumed", []string{tokens(1, 2), tokens(3, 4) + done(4)}, whole, nil},
-		{"resumed with an overlap", []string{tokens(1, 2, 3), tokens(2, 3, 4) + done(4)}, whole, nil},
-		{"cut in a line", []string{tokens(1, 2) + "id: 3\nda", tokens(3, 4) + done(4)}, whole, nil},
-		{"a lost token", []string{tokens(1, 2, 4) + done(4), tokens(3, 4) + done(4)}, whole, nil},
-		{"not JSON", []string{tokens(1) + "id: 2\ndata: {\"text\":oops}\n\n", tokens(2, 3, 4) + done(4)}, whole, nil},
-		{"gone at the engine", []string{tokens(1)}, `"t1 "`, streamer.ErrGone},
-		{"another process", []string{tokens(1), "boot 8;" + tokens(2, 3, 4) + done(4)}, `"t1 "`, streamer.ErrGone},
-		{"no token at all", []string{done(0)}, "", nil},
+		{"plain", []string{tokenEvents(1, 2, 3, 4) + doneEvent(4)}, whole, nil},
+		{"doubled", []string{tokenEvents(1, 1, 2, 3, 2, 3, 4) + doneEvent(4)}, whole, nil},
+		{"out of order", []string{tokenEvents(2, 1, 4, 3) + doneEvent(4)}, whole, nil},
+		{"end before the last token", []string{tokenEvents(1, 2, 4) + doneEvent(4) + tokenEvents(3)}, whole, nil},
+		{"cut and resumed", []string{tokenEvents(1, 2), tokenEvents(3, 4) + doneEvent(4)}, whole, nil},
+		{"resumed with an overlap", []string{tokenEvents(1, 2, 3), tokenEvents(2, 3, 4) + doneEvent(4)}, whole, nil},
+		{"cut in a line", []string{tokenEvents(1, 2) + "id: 3\nda", tokenEvents(3, 4) + doneEvent(4)}, whole, nil},
+		{"a lost token", []string{tokenEvents(1, 2, 4) + doneEvent(4), tokenEvents(3, 4) + doneEvent(4)}, whole, nil},
+		{"not JSON", []string{tokenEvents(1) + "id: 2\ndata: {\"text\":oops}\n\n", tokenEvents(2, 3, 4) + doneEvent(4)}, whole, nil},
+		{"gone at the engine", []string{tokenEvents(1)}, `"t1 "`, streamer.ErrGone},
+		{"another process", []string{tokenEvents(1), "boot 8;" + tokenEvents(2, 3, 4) + doneEvent(4)}, `"t1 "`, streamer.ErrGone},
+		{"no token at all", []string{doneEvent(0)}, "", nil},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			address, s := answers(t, test.texts...)
+			address, s := startEngine(t, test.texts...)
 			stream, err := s.Open(context.Background(), address, streamer.Job{ID: "a"})
 			assert.NilError(t, err)
 			defer stream.Close()
-			text, err := read(stream)
+			text, err := readAll(stream)
 			assert.Equal(t, text, test.want)
 			assert.Assert(t, errors.Is(err, test.err), "%v", err)
 		})
 	}
 }
 
-// A refusal may be called "not run" only where the engine says so itself or
-// nothing can have reached it. Where that is wrong, a caller sends again what
-// has run.
+// A refusal may be reported as "not run" only if the engine itself states so or if
+// nothing can have reached it. Otherwise a caller would repeat a request that has run.
 func TestRefusalsSayWhetherTheyRan(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -138,8 +136,8 @@
 	}
 }
 
-// An engine takes the job and its connection breaks before the answer's head.
-// The job may be running, so this must not look like a refusal.
+// If a connection breaks before the response header, the engine may have accepted the
+// job and be running it, so the error must not be a refusal.
 func TestABrokenConnectionIsNotARefusal(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
@@ -162,14 +160,14 @@
 }
 
 func FuzzStream(f *testing.F) {
-	f.Add(tokens(1, 2) + done(2))
+	f.Add(tokenEvents(1, 2) + doneEvent(2))
 	f.Add("id: x\ndata: {}\n\n")
 	f.Add("id: 1\ndata: {\"text\":\"\n\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		if strings.HasPrefix(text, "boot ") {
 			return
 		}
-		address, s := answers(t, text)
+		address, s := startEngine(t, text)
 		stream, err := s.Open(context.Background(), address, streamer.Job{})
 		assert.NilError(t, err)
 		defer stream.Close()
