--- a/entry/connection/carrier/carrier.go
+++ b/entry/connection/carrier/carrier.go
@@ -1,8 +1,8 @@
-// Package carrier sends requests to upstreams over HTTP/1.1, byte for byte, and
-// reads their answers. Unlike net/http's transport it never sends a request
-// again by itself, so that a request that may run only once is written to one
-// connection and no other; and it tells whether a byte may have left. It
-// follows no redirect, changes no path, and decides nothing about repeating.
+// Package carrier is an HTTP/1.1 client that sends requests to upstreams byte for
+// byte. Unlike net/http's transport, it never retries a request by itself, so a
+// request that must run at most once is written to a single connection. If a request
+// fails, the error states whether a byte of it may have been sent. The package does
+// not follow redirects, change paths, or decide about retries.
 package carrier
 
 import (
@@ -22,73 +22,76 @@
 )
 
 const (
-	// dialTime bounds connecting. Upstreams are a few milliseconds away, and a
-	// first packet that is lost is sent again only after a second.
-	dialTime = 600 * time.Millisecond
-	// probeAfter, probeEvery and probes end a connection whose other side has
-	// vanished without a word: 3 s after its last byte.
-	probeAfter = time.Second
-	probeEvery = time.Second
-	probes     = 2
-	// unacknowledged is how long sent bytes may stay without an
-	// acknowledgement, in milliseconds.
-	unacknowledged = 3000
-	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux.
+	// dialTimeout limits the time to connect. Upstreams are a few milliseconds
+	// away, and a lost SYN is retransmitted only after a second.
+	dialTimeout = 600 * time.Millisecond
+	// keepAliveIdle, keepAliveInterval and keepAliveCount configure TCP keep-alive,
+	// so that a connection whose peer has vanished without closing it ends 3 s after
+	// the last byte received.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	// userTimeoutMillis is how long sent data may remain unacknowledged, in
+	// milliseconds.
+	userTimeoutMillis = 3000
+	// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT.
 	tcpUserTimeout = 18
-	// idleTime is how long a connection is kept where the upstream does not
-	// say how long it keeps it, and idleMargin what is taken off where it does.
-	idleTime   = 4 * time.Second
-	idleMargin = 300 * time.Millisecond
-	// writtenTime is how long a whole answer waits for the word that its request
-	// is written. On a busy VM the answer may be read before whoever wrote the
-	// request has run again; without the wait its connection would be closed for
-	// nothing, and an upstream that answered early is rare.
-	writtenTime = 5 * time.Millisecond
-	// MaxIdlePerAddress is how many idle connections are kept to one address. A VM has
-	// a few requests at a time at one upstream, whose connections it shares
-	// with all other VMs.
+	// defaultIdleTimeout is how long an idle connection is kept if the upstream does
+	// not announce its own timeout. If it does, the connection is kept for that
+	// timeout less idleMargin.
+	defaultIdleTimeout = 4 * time.Second
+	idleMargin         = 300 * time.Millisecond
+	// writeDoneTimeout is how long Close waits, after a complete response, for the
+	// goroutine that writes the request to finish. On a busy VM the response may have
+	// been read before that goroutine is scheduled again; without the wait, a reusable
+	// connection would be closed. An upstream that responds before it has read the
+	// request is rare.
+	writeDoneTimeout = 5 * time.Millisecond
+	// MaxIdlePerAddress is the maximum number of idle connections to an address. A VM
+	// has only a few concurrent requests at one upstream, and the upstream's
+	// connections are shared among all VMs.
 	MaxIdlePerAddress = 4
-	// mostHeader bounds an answer's header in bytes.
-	mostHeader = 64 << 10
-	// readBuffer is the size of a connection's buffer in bytes: an event of a
-	// stream is some hundred bytes.
-	readBuffer = 2 << 10
+	// maxHeaderSize is the maximum size of a response header in bytes.
+	maxHeaderSize = 64 << 10
+	// readBufferSize is the size of a connection's read buffer in bytes. An event of a
+	// stream has a few hundred bytes.
+	readBufferSize = 2 << 10
 )
 
-// Error is the class of this package's errors.
+// Error is the class of the errors that this package itself creates.
 var Error = errs.Class("carrier")
 
-// A SendError is a sending that brought no answer.
-type SendError struct { //nolint:errname // the word that callers meet
-	// Sent says that a byte of the request may have left.
+// A SendError reports a request for which no response header was received.
+type SendError struct {
+	// Sent is set if a byte of the request may have been sent.
 	Sent bool
-	// Reused says that the connection had served an earlier request.
+	// Reused is set if the connection had served an earlier request.
 	Reused bool
 	Err    error
 }
 
-// Error gives the cause.
+// Error returns the text of the cause.
 func (f *SendError) Error() string { return f.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *SendError) Unwrap() error { return f.Err }
 
-// A Request is what is sent.
+// A Request is an HTTP request to an upstream.
 type Request struct {
 	Method string
-	// Target is the path and query as they go onto the wire.
+	// Target is the path and query, sent unchanged.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// NewConnection asks for a connection that has served no other request.
+	// NewConnection requires a connection that has not served another request.
 	NewConnection bool
-	// MaxIdle is how many idle connections to the address are kept at most once it is
-	// answered: 0 for the usual number, less for none.
+	// MaxIdle limits the idle connections to the address when the exchange is closed:
+	// 0 means MaxIdlePerAddress, and a negative value means none.
 	MaxIdle int
 }
 
-// A Carrier keeps connections to upstreams.
+// A Carrier sends requests to upstreams and keeps idle connections for reuse.
 type Carrier struct {
 	now func() time.Time
 
@@ -102,40 +105,40 @@
 	return &Carrier{now: now, idle: make(map[string][]*conn)}
 }
 
-// Dials is how many connections were made.
+// Dials returns the number of connection attempts so far.
 func (c *Carrier) Dials() int64 { return c.dials.Load() }
 
 type conn struct {
 	net.Conn
-	limit  *limiter
-	reader *bufio.Reader
-	until  time.Time
+	headerLimit *headerLimiter
+	reader      *bufio.Reader
+	expiresAt   time.Time
 }
 
-// An Exchange is an answer on its way.
+// An Exchange is a request with a response whose header has been received.
 type Exchange struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Reused says that the connection had served an earlier request, so that
-	// the answer may be that one's.
+	// Reused is set if the connection had served an earlier request, to which the
+	// response may therefore belong.
 	Reused bool
 
-	carrier *Carrier
-	address string
-	idle    int
-	conn    *conn
-	reply   *http.Response
-	written chan error
-	stop    func() bool
-	cancel  context.CancelFunc
-	whole   bool
+	carrier   *Carrier
+	address   string
+	maxIdle   int
+	conn      *conn
+	response  *http.Response
+	writeDone chan error
+	stop      func() bool
+	cancel    context.CancelFunc
+	complete  bool
 }
 
-// Send sends a request and reads the head of its answer. The exchange ends with
+// Send sends a request and reads the header of its response. The exchange ends with
 // the context, and must be closed.
-func (c *Carrier) Send(ctx context.Context, address string, q Request) (*Exchange, *SendError) {
-	n, reused, err := c.take(ctx, address, q.NewConnection)
+func (c *Carrier) Send(ctx context.Context, address string, req Request) (*Exchange, *SendError) {
+	n, reused, err := c.acquire(ctx, address, req.NewConnection)
 	if err != nil {
 		return nil, &SendError{Err: err}
 	}
@@ -144,13 +147,14 @@
 		return nil, &SendError{Err: err}
 	}
 	inner, cancel := context.WithCancel(ctx)
-	x := &Exchange{Reused: reused, carrier: c, address: address, idle: q.MaxIdle, conn: n, written: make(chan error, 1), cancel: cancel}
-	// Closing the connection tells the upstream at once that nobody waits.
+	x := &Exchange{Reused: reused, carrier: c, address: address, maxIdle: req.MaxIdle, conn: n, writeDone: make(chan error, 1), cancel: cancel}
+	// Closing the connection lets the upstream detect at once that the request was
+	// cancelled.
 	x.stop = context.AfterFunc(inner, func() { n.Close() })
-	// The answer may come before the body is read, and the upstream may stop
-	// reading then: who wrote first and read afterwards would wait forever.
-	go func() { x.written <- write(n, q) }()
-	if err := x.head(q.Method); err != nil {
+	// The upstream may respond before it has read the body, and then stop reading.
+	// Writing the whole request before reading the response would block forever.
+	go func() { x.writeDone <- writeRequest(n, req) }()
+	if err := x.readHeader(req.Method); err != nil {
 		x.Close()
 		if cause := ctx.Err(); cause != nil {
 			err = cause
@@ -160,57 +164,57 @@
 	return x, nil
 }
 
-func write(w io.Writer, q Request) error {
+func writeRequest(w io.Writer, req Request) error {
 	var b bytes.Buffer
-	b.Grow(1024 + len(q.Body))
-	b.WriteString(q.Method + " " + q.Target + " HTTP/1.1\r\nHost: " + q.Host + "\r\n")
-	if err := q.Header.Write(&b); err != nil {
+	b.Grow(1024 + len(req.Body))
+	b.WriteString(req.Method + " " + req.Target + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
+	if err := req.Header.Write(&b); err != nil {
 		return err
 	}
-	if len(q.Body) > 0 || (q.Method != http.MethodGet && q.Method != http.MethodHead) {
-		b.WriteString("Content-Length: " + strconv.Itoa(len(q.Body)) + "\r\n")
+	if len(req.Body) > 0 || (req.Method != http.MethodGet && req.Method != http.MethodHead) {
+		b.WriteString("Content-Length: " + strconv.Itoa(len(req.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
-	b.Write(q.Body)
+	b.Write(req.Body)
 	_, err := w.Write(b.Bytes())
 	return err
 }
 
-// head reads the answer's head, passing over interim answers.
-func (x *Exchange) head(method string) error {
-	x.conn.limit.left = mostHeader
-	defer func() { x.conn.limit.left = noLimit }()
+// readHeader reads the response header and skips interim (1xx) responses.
+func (x *Exchange) readHeader(method string) error {
+	x.conn.headerLimit.remaining = maxHeaderSize
+	defer func() { x.conn.headerLimit.remaining = noLimit }()
 	for {
-		reply, err := http.ReadResponse(x.conn.reader, &http.Request{Method: method}) //nolint:bodyclose // Exchange.Close ends it
+		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: method}) //nolint:bodyclose // closed by Exchange.Close
 		if err != nil {
 			return err
 		}
-		if reply.StatusCode >= 100 && reply.StatusCode < 200 {
+		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		x.reply = reply
-		x.Status, x.Header = reply.StatusCode, reply.Header
+		x.response = resp
+		x.Status, x.Header = resp.StatusCode, resp.Header
 		x.Body = &body{exchange: x}
 		return nil
 	}
 }
 
-// A body notes that the answer was read to its end.
+// A body records whether the response was read to its end.
 type body struct {
 	exchange *Exchange
 }
 
 func (b *body) Read(p []byte) (int, error) {
-	n, err := b.exchange.reply.Body.Read(p)
+	n, err := b.exchange.response.Body.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.exchange.whole = true
+		b.exchange.complete = true
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept only if both sides are at the
-// end of it and nothing more has come: bytes after an answer belong to no
-// request, and the next one would take them for its own.
+// Close ends the exchange. The connection is kept only if the request is fully written,
+// the response is fully read, and nothing follows it: stray bytes would be taken for
+// the response to the next request.
 func (x *Exchange) Close() {
 	stopped := x.stop()
 	x.cancel()
@@ -218,23 +222,23 @@
 		x.conn.Close()
 		return
 	}
-	keep := idleTime
-	if said, ok := keepAlive(x.Header); ok {
-		keep = said - idleMargin
+	keep := defaultIdleTimeout
+	if announced, ok := parseKeepAlive(x.Header); ok {
+		keep = announced - idleMargin
 	}
-	x.carrier.put(x.address, x.conn, keep, x.idle)
+	x.carrier.put(x.address, x.conn, keep, x.maxIdle)
 }
 
 func (x *Exchange) reusable() bool {
-	if !x.whole || x.reply.Close || x.conn.reader.Buffered() > 0 {
+	if !x.complete || x.response.Close || x.conn.reader.Buffered() > 0 {
 		return false
 	}
-	late := time.NewTimer(writtenTime)
-	defer late.Stop()
+	timer := time.NewTimer(writeDoneTimeout)
+	defer timer.Stop()
 	select {
-	case err := <-x.written:
+	case err := <-x.writeDone:
 		return err == nil
-	case <-late.C:
+	case <-timer.C:
 		return false
 	}
 }
--- a/entry/connection/carrier/carrier_test.go
+++ b/entry/connection/carrier/carrier_test.go
@@ -17,9 +17,9 @@
 	"github.com/heathervane/heathervane/entry/connection/carrier"
 )
 
-// An upstream is a listener that hands each connection to a script, with the
-// connection's number from 0.
-func upstream(t *testing.T, script func(n int, c net.Conn, r *bufio.Reader)) (address string, conns *atomic.Int64) {
+// startUpstream starts a listener that runs script on each connection. The connections
+// are numbered from 0.
+func startUpstream(t *testing.T, script func(n int, c net.Conn, r *bufio.Reader)) (address string, conns *atomic.Int64) {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -41,8 +41,9 @@
 	return l.Addr().String(), conns
 }
 
-// serve answers every request on a connection with the same bytes.
-func serve(answer string) func(int, net.Conn, *bufio.Reader) {
+// respondWith returns a script that responds with the same bytes to every request on a
+// connection.
+func respondWith(answer string) func(int, net.Conn, *bufio.Reader) {
 	return func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			q, err := http.ReadRequest(r)
@@ -61,12 +62,12 @@
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-func get() carrier.Request {
+func getRequest() carrier.Request {
 	return carrier.Request{Method: http.MethodGet, Target: "/", Host: "a.example", Header: http.Header{"X-A": {"1"}}}
 }
 
-// whole sends a request and reads its answer to the end.
-func whole(t *testing.T, c *carrier.Carrier, address string, q carrier.Request) (string, error) {
+// roundTrip sends a request and reads the response body to its end.
+func roundTrip(t *testing.T, c *carrier.Carrier, address string, q carrier.Request) (string, error) {
 	t.Helper()
 	x, failure := c.Send(t.Context(), address, q)
 	if failure != nil {
@@ -77,11 +78,10 @@
 	return string(data), err
 }
 
-// A path that is cleaned or unescaped on its way asks for something else than
-// the caller did.
+// A path that is cleaned or unescaped in transit may identify another resource.
 func TestRequestGoesOnByteForByte(t *testing.T) {
 	got := make(chan string, 1)
-	address, _ := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	address, _ := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		var head strings.Builder
 		for {
 			line, err := r.ReadString('\n')
@@ -96,18 +96,17 @@
 		io.WriteString(c, ok) //nolint:errcheck // the test reads it
 	})
 	q := carrier.Request{Method: http.MethodPut, Target: "/a//b/../%2f%41?x=%20;y&", Host: "Host.example:80", Header: http.Header{"X-A": {"1", "2"}}, Body: []byte("abc")}
-	answer, err := whole(t, carrier.New(time.Now), address, q)
+	answer, err := roundTrip(t, carrier.New(time.Now), address, q)
 	assert.NilError(t, err)
 	assert.Equal(t, answer, "hi")
 	assert.Equal(t, <-got, "PUT /a//b/../%2f%41?x=%20;y& HTTP/1.1\r\nHost: Host.example:80\r\nX-A: 1\r\nX-A: 2\r\nContent-Length: 3\r\n\r\nabc")
 }
 
-// An upstream closes a kept connection while a request is on its way. net/http
-// would send a GET again by itself, and a booking that is a GET would be made
-// twice.
+// An upstream closes a reused connection while a request is in transit. net/http would
+// retry a GET by itself, and a booking made with a GET would be made twice.
 func TestNothingIsSentTwice(t *testing.T) {
 	var requests atomic.Int64
-	address, conns := upstream(t, func(n int, c net.Conn, r *bufio.Reader) {
+	address, conns := startUpstream(t, func(n int, c net.Conn, r *bufio.Reader) {
 		for i := 0; ; i++ {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
@@ -120,17 +119,17 @@
 		}
 	})
 	c := carrier.New(time.Now)
-	_, err := whole(t, c, address, get())
+	_, err := roundTrip(t, c, address, getRequest())
 	assert.NilError(t, err)
-	_, failure := c.Send(t.Context(), address, get())
+	_, failure := c.Send(t.Context(), address, getRequest())
 	assert.Assert(t, failure != nil)
 	assert.Assert(t, failure.Sent && failure.Reused)
 	assert.Equal(t, requests.Load(), int64(2))
 	assert.Equal(t, conns.Load(), int64(1))
 }
 
-// Connections are kept where the answer allows it, and only there: what comes
-// after an answer would be taken for the next request's.
+// A connection may be reused only if the response permits it and nothing follows it:
+// extra bytes would be taken for the response to the next request.
 func TestConnectionsAreKeptOnlyWhenClean(t *testing.T) {
 	tests := []struct {
 		name, answer string
@@ -147,12 +146,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			address, conns := upstream(t, serve(test.answer))
+			address, conns := startUpstream(t, respondWith(test.answer))
 			c := carrier.New(time.Now)
 			for range 2 {
-				q := get()
+				q := getRequest()
 				q.NewConnection = test.fresh
-				answer, err := whole(t, c, address, q)
+				answer, err := roundTrip(t, c, address, q)
 				assert.NilError(t, err)
 				assert.Equal(t, answer, "hi")
 				time.Sleep(20 * time.Millisecond)
@@ -162,24 +161,23 @@
 	}
 }
 
-// An upstream drops an idle connection without a word. The next request must not
-// be spent on it.
+// A request must not be sent on an idle connection that the upstream has closed.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	address, conns := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	address, conns := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			io.WriteString(c, ok) //nolint:errcheck // the test reads it
 		}
 	})
 	c := carrier.New(time.Now)
-	_, err := whole(t, c, address, get())
+	_, err := roundTrip(t, c, address, getRequest())
 	assert.NilError(t, err)
 	time.Sleep(50 * time.Millisecond)
-	_, err = whole(t, c, address, get())
+	_, err = roundTrip(t, c, address, getRequest())
 	assert.NilError(t, err)
 	assert.Equal(t, conns.Load(), int64(2))
 }
 
-// Half an answer must never look like a whole one.
+// A truncated response must be reported as an error, never as a complete response.
 func TestCutAnswersAreErrors(t *testing.T) {
 	for _, answer := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi",
@@ -188,21 +186,21 @@
 		"no answer at all\r\n\r\n",
 		"",
 	} {
-		address, _ := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		address, _ := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			if _, err := http.ReadRequest(r); err == nil {
 				io.WriteString(c, answer) //nolint:errcheck // the test reads it
 			}
 		})
-		_, err := whole(t, carrier.New(time.Now), address, get())
+		_, err := roundTrip(t, carrier.New(time.Now), address, getRequest())
 		assert.Assert(t, err != nil, "%q", answer)
 	}
 }
 
-// An answer without a length ends with its connection; one that is reset on the
-// way is not whole.
+// A response without a length ends when its connection is closed. If the connection is
+// reset instead, the response is incomplete.
 func TestAnswerWithoutLengthEndsInGoodOrder(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		address, _ := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		address, _ := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
@@ -212,16 +210,16 @@
 				c.(*net.TCPConn).SetLinger(0) //nolint:errcheck,forcetypeassert // a TCP connection
 			}
 		})
-		answer, err := whole(t, carrier.New(time.Now), address, get())
+		answer, err := roundTrip(t, carrier.New(time.Now), address, getRequest())
 		assert.Equal(t, err != nil, reset)
 		assert.Equal(t, answer, "hi")
 	}
 }
 
-// An upstream rejects a long body before it has read it, and reads no more. Who
-// writes all before reading waits until the time limit.
+// An upstream rejects a long body before it has read it, and stops reading. A client
+// that writes the whole request before it reads the response waits until its timeout.
 func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
-	address, conns := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	address, conns := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
@@ -230,28 +228,28 @@
 	})
 	c := carrier.New(time.Now)
 	q := carrier.Request{Method: http.MethodPost, Target: "/", Host: "a", Body: make([]byte, 64<<20)}
-	answer, err := whole(t, c, address, q)
+	answer, err := roundTrip(t, c, address, q)
 	assert.NilError(t, err)
 	assert.Equal(t, answer, "no")
-	_, err = whole(t, c, address, get())
+	_, err = roundTrip(t, c, address, getRequest())
 	assert.NilError(t, err)
-	assert.Equal(t, conns.Load(), int64(2), "the rest of the body is still due on the first")
+	assert.Equal(t, conns.Load(), int64(2), "the first connection still has a part of the body to send")
 }
 
-// A caller leaves: its upstream must learn it at once by the connection's end,
-// or it works on for nobody.
+// When a caller cancels its request, the connection must be closed at once. Otherwise
+// the upstream continues to work on a response that is not needed.
 func TestEndOfTheContextClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
-	address, _ := upstream(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+	address, _ := startUpstream(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
-		r.ReadByte() //nolint:errcheck // its end is what counts
+		r.ReadByte() //nolint:errcheck // returns when the connection ends
 		close(closed)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
-	_, failure := carrier.New(time.Now).Send(ctx, address, get())
+	_, failure := carrier.New(time.Now).Send(ctx, address, getRequest())
 	assert.ErrorIs(t, failure, context.Canceled)
 	assert.Assert(t, failure.Sent)
 	select {
@@ -261,63 +259,64 @@
 	}
 }
 
-// Nobody listens: nothing can have been sent, and the request may go elsewhere.
+// If the connection is refused, nothing was sent, so the request may be sent to another
+// upstream.
 func TestRefusedConnectionSentNothing(t *testing.T) {
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := l.Addr().String()
 	l.Close()
-	_, failure := carrier.New(time.Now).Send(t.Context(), address, get())
+	_, failure := carrier.New(time.Now).Send(t.Context(), address, getRequest())
 	assert.Assert(t, failure != nil)
 	assert.Assert(t, !failure.Sent)
 }
 
-// A broken upstream sends a head without end; read whole, it would exhaust a
-// small VM's memory.
+// A broken upstream sends an endless header, which would exhaust the memory of a small
+// VM if it were read completely.
 func TestEndlessHeadIsCut(t *testing.T) {
-	address, _ := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	address, _ := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
-		io.WriteString(c, "HTTP/1.1 200 OK\r\n") //nolint:errcheck // cut before its end
+		io.WriteString(c, "HTTP/1.1 200 OK\r\n") //nolint:errcheck // the client closes the connection early
 		for {
 			if _, err := io.WriteString(c, "X-A: "+strings.Repeat("a", 1000)+"\r\n"); err != nil {
 				return
 			}
 		}
 	})
-	_, failure := carrier.New(time.Now).Send(t.Context(), address, get())
+	_, failure := carrier.New(time.Now).Send(t.Context(), address, getRequest())
 	assert.ErrorContains(t, failure, "bytes")
 }
 
-// Interim answers are no answer; an upstream that sends nothing else is silent,
-// and given up when the context ends.
+// Interim (1xx) responses must not be taken for the response. A request to an upstream
+// that sends nothing else fails when the context ends.
 func TestInterimAnswersAreNone(t *testing.T) {
-	address, _ := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	address, _ := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") //nolint:errcheck // nothing follows
-		r.ReadByte()                                       //nolint:errcheck // until the other side ends
+		r.ReadByte()                                       //nolint:errcheck // returns when the client closes the connection
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	_, failure := carrier.New(time.Now).Send(ctx, address, get())
+	_, failure := carrier.New(time.Now).Send(ctx, address, getRequest())
 	assert.ErrorIs(t, failure, context.DeadlineExceeded)
 }
 
-// Idle connections end with their time, so that an upstream's connections are
-// there for other VMs.
+// Idle connections are closed when they expire, so that other VMs can use the
+// upstream's connections.
 func TestIdleConnectionsAreSwept(t *testing.T) {
 	var now atomic.Int64
 	now.Store(time.Now().UnixNano())
 	gone := make(chan struct{})
-	address, _ := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		serve(ok)(0, c, r)
+	address, _ := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		respondWith(ok)(0, c, r)
 		close(gone)
 	})
 	c := carrier.New(func() time.Time { return time.Unix(0, now.Load()) })
-	_, err := whole(t, c, address, get())
+	_, err := roundTrip(t, c, address, getRequest())
 	assert.NilError(t, err)
 	c.CloseExpired()
 	now.Add(int64(10 * time.Second))
@@ -333,28 +332,28 @@
 	assert.Equal(t, c.Dials(), int64(1))
 }
 
-// The way to an upstream is cut without a word, on this VM's side only. Others
-// get its answers, so that it is not blamed, and each kept connection would cost
-// a caller its patience until none is left.
+// The network path from this VM to an upstream drops packets silently. Other VMs still
+// reach the upstream, so it is not marked as failed, and each idle connection would
+// stall one more request.
 func TestDroppedAddressIsDialledAnew(t *testing.T) {
-	address, _ := upstream(t, serve(ok))
+	address, _ := startUpstream(t, respondWith(ok))
 	c := carrier.New(time.Now)
 	for range 2 {
-		_, err := whole(t, c, address, get())
+		_, err := roundTrip(t, c, address, getRequest())
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, c.Dials(), int64(1))
 	c.CloseIdle(address)
-	_, err := whole(t, c, address, get())
+	_, err := roundTrip(t, c, address, getRequest())
 	assert.NilError(t, err)
 	assert.Equal(t, c.Dials(), int64(2))
 }
 
-// Many VMs that keep the usual number of idle connections each take all that a small
-// service accepts, and its requests are reset.
+// If many VMs each keep the default number of idle connections, they use up all the
+// connections that a small service accepts, and its requests are reset.
 func TestNoMoreIdleConnectionsAreKeptThanAllowed(t *testing.T) {
 	for idle, dials := range map[int]int64{0: 2, 1: 3, -1: 4} {
-		address, conns := upstream(t, serve("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+		address, conns := startUpstream(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		c := carrier.New(time.Now)
 		for range 2 {
 			var open []*carrier.Exchange
--- a/entry/connection/carrier/pool.go
+++ b/entry/connection/carrier/pool.go
@@ -15,32 +15,32 @@
 
 const noLimit = math.MaxInt
 
-// A limiter bounds what is read of an answer's head: a broken upstream that
-// sends a head without end would exhaust a small VM's memory.
-type limiter struct {
-	r    io.Reader
-	left int
+// A headerLimiter limits the number of bytes read while a response header is parsed. An
+// endless header from a broken upstream would exhaust the memory of a small VM.
+type headerLimiter struct {
+	r         io.Reader
+	remaining int
 }
 
-func (l *limiter) Read(p []byte) (int, error) {
-	if l.left <= 0 {
-		return 0, Error.New("the answer's head is over %d bytes", mostHeader)
+func (l *headerLimiter) Read(p []byte) (int, error) {
+	if l.remaining <= 0 {
+		return 0, Error.New("response header exceeds %d bytes", maxHeaderSize)
 	}
-	if len(p) > l.left {
-		p = p[:l.left]
+	if len(p) > l.remaining {
+		p = p[:l.remaining]
 	}
 	n, err := l.r.Read(p)
-	if l.left != noLimit {
-		l.left -= n
+	if l.remaining != noLimit {
+		l.remaining -= n
 	}
 	return n, err
 }
 
-// take gives an idle connection, or a new one.
-func (c *Carrier) take(ctx context.Context, address string, fresh bool) (n *conn, reused bool, err error) {
+// acquire returns an idle connection or, if there is none, a new one.
+func (c *Carrier) acquire(ctx context.Context, address string, fresh bool) (n *conn, reused bool, err error) {
 	if !fresh {
 		for n := c.pop(address); n != nil; n = c.pop(address) {
-			if n.until.After(c.now()) && quiet(n.Conn) {
+			if n.expiresAt.After(c.now()) && isClean(n.Conn) {
 				return n, true, nil
 			}
 			n.Close()
@@ -52,30 +52,30 @@
 
 func (c *Carrier) dial(ctx context.Context, address string) (*conn, error) {
 	d := net.Dialer{
-		Timeout:         dialTime,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probes},
-		Control:         acknowledge,
+		Timeout:         dialTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
+		Control:         setUserTimeout,
 	}
 	c.dials.Add(1)
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	l := &limiter{r: raw, left: noLimit}
-	return &conn{Conn: raw, limit: l, reader: bufio.NewReaderSize(l, readBuffer)}, nil
+	l := &headerLimiter{r: raw, remaining: noLimit}
+	return &conn{Conn: raw, headerLimit: l, reader: bufio.NewReaderSize(l, readBufferSize)}, nil
 }
 
-// acknowledge bounds how long sent bytes go without an acknowledgement. Without
-// it a connection to an upstream that lost its power hangs for minutes.
-func acknowledge(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket. Without it, a connection to an
+// upstream that has lost power hangs for minutes.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, unacknowledged)
+		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, userTimeoutMillis)
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
 
 func (c *Carrier) pop(address string) *conn {
@@ -90,22 +90,23 @@
 	return n
 }
 
-func (c *Carrier) put(address string, n *conn, keep time.Duration, most int) {
-	if most == 0 {
-		most = MaxIdlePerAddress
+func (c *Carrier) put(address string, n *conn, keep time.Duration, maxIdle int) {
+	if maxIdle == 0 {
+		maxIdle = MaxIdlePerAddress
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if keep <= 0 || len(c.idle[address]) >= min(MaxIdlePerAddress, most) {
+	if keep <= 0 || len(c.idle[address]) >= min(MaxIdlePerAddress, maxIdle) {
 		n.Close()
 		return
 	}
-	n.until = c.now().Add(keep)
+	n.expiresAt = c.now().Add(keep)
 	c.idle[address] = append(c.idle[address], n)
 }
 
-// CloseIdle closes the idle connections to an address. They may have fallen silent
-// together with one that did; a new one shows whether the upstream is reached.
+// CloseIdle closes the idle connections to an address. It is called when a connection
+// to the address has stalled: the idle ones may be broken too, and opening a new one
+// shows whether the upstream is reachable.
 func (c *Carrier) CloseIdle(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +116,7 @@
 	delete(c.idle, address)
 }
 
-// CloseExpired closes idle connections whose time is over.
+// CloseExpired closes the connections that have been idle for too long.
 func (c *Carrier) CloseExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +124,7 @@
 	for address, list := range c.idle {
 		kept := list[:0]
 		for _, n := range list {
-			if n.until.After(now) {
+			if n.expiresAt.After(now) {
 				kept = append(kept, n)
 				continue
 			}
@@ -137,10 +138,10 @@
 	}
 }
 
-// quiet says that an idle connection is open and nothing has come on it. A
-// request that is sent on one that the other side has closed may count as run,
-// and stray bytes would be taken for its answer.
-func quiet(n net.Conn) bool {
+// isClean reports whether an idle connection is open and has received no data. A request
+// sent on a connection that the upstream has closed would have to be treated as
+// possibly run, and stray bytes would be taken for its response.
+func isClean(n net.Conn) bool {
 	s, ok := n.(syscall.Conn)
 	if !ok {
 		return false
@@ -152,15 +153,16 @@
 	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
-		_, _, peeked := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		open = peeked == syscall.EAGAIN
+		_, _, peekErr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		open = peekErr == syscall.EAGAIN
 		return true
 	})
 	return err == nil && open
 }
 
-// keepAlive reads how long the upstream keeps an idle connection.
-func keepAlive(h http.Header) (time.Duration, bool) {
+// parseKeepAlive returns the timeout that the Keep-Alive header announces for idle
+// connections.
+func parseKeepAlive(h http.Header) (time.Duration, bool) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
