--- a/entry/connection/linker/export_test.go
+++ b/entry/connection/linker/export_test.go
@@ -1,4 +1,4 @@
 package linker
 
-// Dispatch gives a message to its handler as if it came from a peer.
+// Dispatch passes a message to its handler as if a peer had sent it.
 func Dispatch(l *Linker, data []byte) error { return l.dispatch(Peer{VM: "b"}, data) }
--- a/entry/connection/linker/fetch.go
+++ b/entry/connection/linker/fetch.go
@@ -6,13 +6,13 @@
 	"github.com/zeebo/errs"
 )
 
-// Kinds of the messages by which a VM that is behind gets a peer's state.
+// Kinds of the messages with which a VM that lags behind fetches the state of a peer.
 const (
 	kindFetch = "fetch"
 	kindState = "state"
 )
 
-// ErrFetch is the class of failed fetches.
+// ErrFetch is the class of errors of FetchState.
 var ErrFetch = errs.Class("fetch")
 
 type fetch struct {
@@ -26,29 +26,30 @@
 	Data []byte
 }
 
-// ServeState sets what peers get that fetch this VM's state. f must not block.
+// ServeState sets the function that returns this VM's state for peers that fetch it. f
+// must not block.
 func (l *Linker) ServeState(f func() []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.state = f
+	l.stateFunc = f
 }
 
-func (l *Linker) registerFetch() {
+func (l *Linker) registerFetchHandlers() {
 	Handle(l, kindFetch, func(from Peer, m fetch) {
 		l.mu.Lock()
-		f := l.state
+		f := l.stateFunc
 		l.mu.Unlock()
 		if f == nil {
 			return
 		}
-		// A link that is gone loses the answer; the fetch then ends by its
-		// own time limit.
+		// If the link is gone, the response is lost and the peer's fetch times
+		// out.
 		_ = Send(l, from.VM, kindState, state{ID: m.ID, Data: f()})
 	})
 	Handle(l, kindState, func(_ Peer, m state) {
 		l.mu.Lock()
-		c := l.fetches[m.ID]
-		delete(l.fetches, m.ID)
+		c := l.pendingFetches[m.ID]
+		delete(l.pendingFetches, m.ID)
 		l.mu.Unlock()
 		if c != nil {
 			c <- m.Data
@@ -56,18 +57,18 @@
 	})
 }
 
-// FetchState gets a VM's state over the link to it. It waits for the answer until
-// the context ends.
+// FetchState fetches the state of a VM over the link to it. It waits for the response
+// until the context ends.
 func (l *Linker) FetchState(ctx context.Context, vm string) ([]byte, error) {
 	c := make(chan []byte, 1)
 	l.mu.Lock()
-	l.nextID++
-	id := l.nextID
-	l.fetches[id] = c
+	l.lastFetchID++
+	id := l.lastFetchID
+	l.pendingFetches[id] = c
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.fetches, id)
+		delete(l.pendingFetches, id)
 		l.mu.Unlock()
 	}()
 	if err := Send(l, vm, kindFetch, fetch{ID: id}); err != nil {
--- a/entry/connection/linker/hello.go
+++ b/entry/connection/linker/hello.go
@@ -12,19 +12,21 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// nonceSize makes each opening's proof its own.
+// nonceSize is the size of the nonces, in bytes, which make the proofs of each handshake
+// unique.
 const nonceSize = 16
 
-// maxHello bounds the messages of an opening, which come from a stranger.
-const maxHello = 4 << 10
+// maxHelloSize limits the size of handshake messages, which come from peers that are not
+// authenticated yet.
+const maxHelloSize = 4 << 10
 
-// A challenge opens a link, from the side that was called.
+// A challenge is the first message of a handshake. The listening side sends it.
 type challenge struct {
 	Version int    `cbor:"version"`
 	Nonce   []byte `cbor:"nonce"`
 }
 
-// A hello says who calls, and proves it.
+// A hello identifies its sender and proves that the sender knows the shared secret.
 type hello struct {
 	Version int    `cbor:"version"`
 	VM      string `cbor:"vm"`
@@ -37,17 +39,17 @@
 
 func (h hello) peer() Peer { return Peer{VM: h.VM, Zone: h.Zone, Address: h.Address, Boot: h.Boot} }
 
-// proof is an HMAC over all that a hello says, both nonces and the side that
-// speaks: a proof can neither be replayed nor sent back to its maker.
-func (l *Linker) proof(side string, h hello, theirs []byte) []byte {
-	m := hmac.New(sha256.New, l.c.Secret)
+// proof returns an HMAC over the content of a hello, both nonces and the sender's side, so
+// that a proof can be neither replayed nor reflected to its sender.
+func (l *Linker) proof(side string, h hello, peerNonce []byte) []byte {
+	m := hmac.New(sha256.New, l.config.Secret)
 	field := func(b []byte) {
 		var size [8]byte
 		binary.BigEndian.PutUint64(size[:], uint64(len(b)))
 		m.Write(size[:])
 		m.Write(b)
 	}
-	for _, b := range [][]byte{[]byte(side), []byte(h.VM), []byte(h.Zone), []byte(h.Address), h.Nonce, theirs} {
+	for _, b := range [][]byte{[]byte(side), []byte(h.VM), []byte(h.Zone), []byte(h.Address), h.Nonce, peerNonce} {
 		field(b)
 	}
 	field(binary.BigEndian.AppendUint64(nil, h.Boot))
@@ -55,94 +57,94 @@
 	return m.Sum(nil)
 }
 
-func (l *Linker) hello(side string, theirs []byte) hello {
+func (l *Linker) newHello(side string, peerNonce []byte) hello {
 	h := hello{
-		Version: l.c.Version, VM: l.c.VM, Zone: l.c.Zone, Address: l.c.Address, Boot: l.c.Boot, Nonce: nonce(),
+		Version: l.config.Version, VM: l.config.VM, Zone: l.config.Zone, Address: l.config.Address, Boot: l.config.Boot, Nonce: newNonce(),
 	}
-	h.Proof = l.proof(side, h, theirs)
+	h.Proof = l.proof(side, h, peerNonce)
 	return h
 }
 
-func nonce() []byte {
+func newNonce() []byte {
 	b := make([]byte, nonceSize)
-	_, _ = rand.Read(b) // never fails
+	_, _ = rand.Read(b) // it never fails
 	return b
 }
 
-// Sides of an opening.
+// Sides of a handshake.
 const (
-	caller = "caller"
-	called = "called"
+	sideDialer   = "caller"
+	sideListener = "called"
 )
 
-// check says whether a hello proves what it says.
-func (l *Linker) check(side string, h hello, theirs []byte) error {
+// verify checks a hello's protocol version, proof and VM name.
+func (l *Linker) verify(side string, h hello, peerNonce []byte) error {
 	switch {
-	case h.Version != l.c.Version:
-		return ErrHello.New("protocol version %d, here %d", h.Version, l.c.Version)
-	case len(h.Nonce) != nonceSize || !hmac.Equal(h.Proof, l.proof(side, h, theirs)):
-		return ErrHello.New("wrong proof")
-	case h.VM == "" || h.VM == l.c.VM:
-		return ErrHello.New("VM %q calls itself as this one", h.VM)
+	case h.Version != l.config.Version:
+		return ErrRefused.New("protocol version %d, here %d", h.Version, l.config.Version)
+	case len(h.Nonce) != nonceSize || !hmac.Equal(h.Proof, l.proof(side, h, peerNonce)):
+		return ErrRefused.New("wrong proof")
+	case h.VM == "" || h.VM == l.config.VM:
+		return ErrRefused.New("VM %q calls itself as this one", h.VM)
 	}
 	return nil
 }
 
-// greet opens a link from the calling side to a VM.
-func (l *Linker) greet(ctx context.Context, conn *websocket.Conn, vm string) (Peer, error) {
-	conn.SetReadLimit(maxHello)
-	c, err := receive[challenge](ctx, conn)
+// dialHandshake performs the handshake on the dialling side of a link to a VM.
+func (l *Linker) dialHandshake(ctx context.Context, conn *websocket.Conn, vm string) (Peer, error) {
+	conn.SetReadLimit(maxHelloSize)
+	c, err := readMessage[challenge](ctx, conn)
 	if err != nil {
 		return Peer{}, err
 	}
-	if c.Version != l.c.Version {
-		return Peer{}, ErrHello.New("protocol version %d, here %d", c.Version, l.c.Version)
+	if c.Version != l.config.Version {
+		return Peer{}, ErrRefused.New("protocol version %d, here %d", c.Version, l.config.Version)
 	}
-	own := l.hello(caller, c.Nonce)
-	if err := transmit(ctx, conn, own); err != nil {
+	own := l.newHello(sideDialer, c.Nonce)
+	if err := writeMessage(ctx, conn, own); err != nil {
 		return Peer{}, err
 	}
-	h, err := receive[hello](ctx, conn)
+	h, err := readMessage[hello](ctx, conn)
 	if err != nil {
 		return Peer{}, err
 	}
 	if h.VM != vm {
 		// Another VM has taken over the address.
-		return Peer{}, ErrHello.New("VM %q answers at the address of %q", h.VM, vm)
+		return Peer{}, ErrRefused.New("VM %q answers at the address of %q", h.VM, vm)
 	}
-	return h.peer(), l.check(called, h, own.Nonce)
+	return h.peer(), l.verify(sideListener, h, own.Nonce)
 }
 
-// welcome opens a link from the called side.
-func (l *Linker) welcome(ctx context.Context, conn *websocket.Conn) (Peer, error) {
-	conn.SetReadLimit(maxHello)
-	c := challenge{Version: l.c.Version, Nonce: nonce()}
-	if err := transmit(ctx, conn, c); err != nil {
+// acceptHandshake performs the handshake on the listening side.
+func (l *Linker) acceptHandshake(ctx context.Context, conn *websocket.Conn) (Peer, error) {
+	conn.SetReadLimit(maxHelloSize)
+	c := challenge{Version: l.config.Version, Nonce: newNonce()}
+	if err := writeMessage(ctx, conn, c); err != nil {
 		return Peer{}, err
 	}
-	h, err := receive[hello](ctx, conn)
+	h, err := readMessage[hello](ctx, conn)
 	if err != nil {
 		return Peer{}, err
 	}
-	if err := l.check(caller, h, c.Nonce); err != nil {
+	if err := l.verify(sideDialer, h, c.Nonce); err != nil {
 		return Peer{}, err
 	}
-	return h.peer(), transmit(ctx, conn, l.hello(called, h.Nonce))
+	return h.peer(), writeMessage(ctx, conn, l.newHello(sideListener, h.Nonce))
 }
 
-func transmit[T any](ctx context.Context, conn *websocket.Conn, m T) error {
+func writeMessage[T any](ctx context.Context, conn *websocket.Conn, m T) error {
 	data, err := recorder.Encode(m)
 	if err != nil {
 		return err
 	}
-	return ErrHello.Wrap(conn.Write(ctx, websocket.MessageBinary, data))
+	return ErrRefused.Wrap(conn.Write(ctx, websocket.MessageBinary, data))
 }
 
-func receive[T any](ctx context.Context, conn *websocket.Conn) (T, error) {
+func readMessage[T any](ctx context.Context, conn *websocket.Conn) (T, error) {
 	_, data, err := conn.Read(ctx)
 	if err != nil {
-		var none T
-		return none, ErrHello.Wrap(err)
+		var zero T
+		return zero, ErrRefused.Wrap(err)
 	}
 	return recorder.Decode[T](data)
 }
--- a/entry/connection/linker/link.go
+++ b/entry/connection/linker/link.go
@@ -13,7 +13,7 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// A link is one open WebSocket.
+// A link is an open WebSocket connection to another VM.
 type link struct {
 	peer  Peer
 	conn  *websocket.Conn
@@ -21,24 +21,24 @@
 	stop  context.CancelFunc
 }
 
-// dial opens a link from this side. The VM with the greater name waits first,
-// so that two VMs that learn of one another together open one link and not two.
+// dial opens a link to another VM. The VM with the greater name waits first, so that two
+// VMs that discover each other at the same time open one link instead of two.
 func (l *Linker) dial(vm, address string) {
 	defer func() {
 		l.mu.Lock()
-		delete(l.dials, vm)
+		delete(l.dialling, vm)
 		l.mu.Unlock()
 	}()
-	if l.c.VM > vm && !l.rest(pause) {
+	if l.config.VM > vm && !l.sleep(redialDelay) {
 		return
 	}
-	if l.linked(vm) {
+	if l.hasLink(vm) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(l.ctx, helloTime)
+	ctx, cancel := context.WithTimeout(l.ctx, handshakeTimeout)
 	defer cancel()
 	scheme := "ws://"
-	if l.c.TLS != nil {
+	if l.config.TLS != nil {
 		scheme = "wss://"
 	}
 	conn, res, err := websocket.Dial(ctx, scheme+address+Path, &websocket.DialOptions{HTTPClient: l.client})
@@ -46,20 +46,20 @@
 		res.Body.Close()
 	}
 	if err != nil {
-		l.rest(pause)
+		l.sleep(redialDelay)
 		return
 	}
-	peer, err := l.greet(ctx, conn, vm)
+	peer, err := l.dialHandshake(ctx, conn, vm)
 	if err != nil {
 		l.refuse(conn, err)
-		l.rest(pause)
+		l.sleep(redialDelay)
 		return
 	}
-	l.wait.Go(func() { l.run(conn, peer) })
+	l.running.Go(func() { l.run(conn, peer) })
 }
 
-// rest waits and says whether the Linker is still open.
-func (l *Linker) rest(d time.Duration) bool {
+// sleep waits for d and returns true, or returns false as soon as the Linker is closed.
+func (l *Linker) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -70,22 +70,22 @@
 	}
 }
 
-func (l *Linker) linked(vm string) bool {
+func (l *Linker) hasLink(vm string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.peers[vm] != nil
+	return l.links[vm] != nil
 }
 
 func (l *Linker) refuse(conn *websocket.Conn, err error) {
 	l.refused.Inc(1)
 	l.log.Warn().Err(err).Msg("link refused")
-	conn.Close(websocket.StatusPolicyViolation, short(err.Error()))
+	conn.Close(websocket.StatusPolicyViolation, truncateReason(err.Error()))
 }
 
-// short keeps a reason within what a WebSocket's close may carry.
-func short(reason string) string { return reason[:min(len(reason), 100)] }
+// truncateReason truncates a reason to a length that fits into a WebSocket close frame.
+func truncateReason(reason string) string { return reason[:min(len(reason), 100)] }
 
-// ServeHTTP takes a link that another VM opens.
+// ServeHTTP accepts a link that another VM opens.
 func (l *Linker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	if l.closed {
@@ -93,15 +93,15 @@
 		http.Error(w, "closed", http.StatusServiceUnavailable)
 		return
 	}
-	l.wait.Add(1)
+	l.running.Add(1)
 	l.mu.Unlock()
-	defer l.wait.Done()
+	defer l.running.Done()
 	conn, err := websocket.Accept(w, r, nil)
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(l.ctx, helloTime)
-	peer, err := l.welcome(ctx, conn)
+	ctx, cancel := context.WithTimeout(l.ctx, handshakeTimeout)
+	peer, err := l.acceptHandshake(ctx, conn)
 	cancel()
 	if err != nil {
 		l.refuse(conn, err)
@@ -110,13 +110,13 @@
 	l.run(conn, peer)
 }
 
-// run serves a link until it ends.
+// run registers a link and serves it until it ends.
 func (l *Linker) run(conn *websocket.Conn, peer Peer) {
 	ctx, stop := context.WithCancel(l.ctx)
 	defer stop()
 	k := &link{peer: peer, conn: conn, queue: newQueue(), stop: stop}
 	conn.SetReadLimit(MaxMessageSize)
-	if !l.enter(k) {
+	if !l.register(k) {
 		l.refused.Inc(1)
 		conn.Close(websocket.StatusPolicyViolation, "an earlier process of this VM")
 		return
@@ -124,53 +124,53 @@
 	var writer sync.WaitGroup
 	writer.Go(func() {
 		defer stop()
-		k.write(ctx)
+		k.writeLoop(ctx)
 	})
-	err := l.read(ctx, k)
+	err := l.readLoop(ctx, k)
 	stop()
 	writer.Wait()
-	l.leave(k)
-	_ = conn.CloseNow() // it has ended already
+	l.unregister(k)
+	_ = conn.CloseNow() // the link has already ended
 	if !errors.Is(err, io.EOF) && !errors.Is(err, context.Canceled) {
 		l.log.Info().Str("peer", peer.VM).Err(err).Msg("link ended")
 	}
 }
 
-// enter makes a link the one to its VM. A newer link replaces an older one: the
-// other side opened it because it had lost the other. A link of an earlier
-// process does not.
-func (l *Linker) enter(k *link) bool {
+// register makes a link the current one to its VM. A newer link replaces an older one,
+// because the peer opens a new link only after it has lost the old one. A link from an
+// earlier process of the VM is rejected.
+func (l *Linker) register(k *link) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	old := l.peers[k.peer.VM]
+	old := l.links[k.peer.VM]
 	if l.closed || old != nil && old.peer.Boot > k.peer.Boot {
 		return false
 	}
-	l.peers[k.peer.VM] = k
-	l.links.Update(int64(len(l.peers)))
+	l.links[k.peer.VM] = k
+	l.openLinks.Update(int64(len(l.links)))
 	if old != nil {
 		old.stop()
 	}
 	return true
 }
 
-func (l *Linker) leave(k *link) {
+func (l *Linker) unregister(k *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.peers[k.peer.VM] == k {
-		delete(l.peers, k.peer.VM)
+	if l.links[k.peer.VM] == k {
+		delete(l.links, k.peer.VM)
 	}
-	l.links.Update(int64(len(l.peers)))
+	l.openLinks.Update(int64(len(l.links)))
 }
 
-func (k *link) write(ctx context.Context) {
+func (k *link) writeLoop(ctx context.Context) {
 	for {
-		data, ok := k.queue.take(ctx)
+		data, ok := k.queue.pop(ctx)
 		if !ok {
 			return
 		}
-		limited, cancel := context.WithTimeout(ctx, writeTime)
-		err := k.conn.Write(limited, websocket.MessageBinary, data)
+		writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
+		err := k.conn.Write(writeCtx, websocket.MessageBinary, data)
 		cancel()
 		if err != nil {
 			return
@@ -178,19 +178,20 @@
 	}
 }
 
-// read hands out messages. What can't be understood ends this link only: the
-// peer that sent it may be broken or hostile, and others must not feel it.
-func (l *Linker) read(ctx context.Context, k *link) error {
+// readLoop reads messages and passes them to their handlers. A message that cannot be
+// decoded ends only this link: its sender may be broken or malicious, and other links
+// must not be affected.
+func (l *Linker) readLoop(ctx context.Context, k *link) error {
 	for {
-		limited, cancel := context.WithTimeout(ctx, idle)
-		kind, data, err := k.conn.Read(limited)
+		readCtx, cancel := context.WithTimeout(ctx, idleTimeout)
+		kind, data, err := k.conn.Read(readCtx)
 		cancel()
 		if err != nil {
 			return err
 		}
 		if kind != websocket.MessageBinary {
 			l.broken.Inc(1)
-			return ErrHello.New("a message that is not binary")
+			return ErrRefused.New("received a message that is not binary")
 		}
 		if err := l.dispatch(k.peer, data); err != nil {
 			l.broken.Inc(1)
@@ -199,8 +200,8 @@
 	}
 }
 
-// dispatch calls the handler of a message. Kinds not known here are skipped: a
-// newer VM may send more.
+// dispatch calls the handler of a message. Unknown kinds are ignored, because a newer VM
+// may send kinds that this version does not know.
 func (l *Linker) dispatch(from Peer, data []byte) error {
 	name, err := recorder.Kind(data)
 	if err != nil {
--- a/entry/connection/linker/linker.go
+++ b/entry/connection/linker/linker.go
@@ -1,11 +1,12 @@
-// Package linker keeps links to other entry VMs: one WebSocket for each pair
-// that has something to say, with CBOR messages, authenticated by a secret that
-// the VMs share. It carries what others register and decides nothing.
+// Package linker maintains links between entry VMs. A link is a WebSocket that carries
+// CBOR messages; there is one per pair of VMs that communicate. The VMs authenticate
+// each other with a shared secret. Other packages register the handlers of messages;
+// this package makes no decisions of its own.
 //
-// A message may be lost with its link, and a link may be cut in one direction;
-// whoever sends must bear both. A link to a slow or frozen VM must not hold up
-// the others: queues are bounded, and where one is full, old heartbeats go
-// first, because the next one says the same anew.
+// A message may be lost if its link breaks, and a link may fail in one direction only;
+// senders must tolerate both. A link to a slow or frozen VM must not delay the other
+// links: each has a bounded queue, which drops old heartbeats first when it is full,
+// because the next heartbeat supersedes them.
 package linker
 
 import (
@@ -25,31 +26,32 @@
 // Version is the version of the protocol between VMs.
 const Version = 1
 
-// Path is where the Linker's handler is to be served.
+// Path is the HTTP path at which a Linker must be served.
 const Path = "/peer"
 
 const (
-	// MaxMessageSize bounds a message in bytes. The largest is a configuration.
+	// MaxMessageSize is the maximum size of a message in bytes. The largest messages
+	// hold a configuration.
 	MaxMessageSize = 2 << 20
-	// maxQueue bounds the messages waiting for one link.
-	maxQueue = 256
-	// helloTime bounds the opening of a link.
-	helloTime = 3 * time.Second
-	// writeTime bounds the sending of one message: a link that takes longer is
-	// closed.
-	writeTime = 3 * time.Second
-	// pause is between two attempts to reach a VM.
-	pause = 200 * time.Millisecond
-	// idle closes a link that nothing came over.
-	idle = 10 * time.Second
+	// maxQueueLength is the maximum number of messages queued for a link.
+	maxQueueLength = 256
+	// handshakeTimeout limits the time to establish a link.
+	handshakeTimeout = 3 * time.Second
+	// writeTimeout limits the time to send a message. A link that exceeds it is closed.
+	writeTimeout = 3 * time.Second
+	// redialDelay is the delay between two attempts to connect to a VM.
+	redialDelay = 200 * time.Millisecond
+	// idleTimeout is the time after which a link that has received nothing is closed.
+	idleTimeout = 10 * time.Second
 )
 
 // Error classes.
 var (
-	// ErrNoLink is the class of sends to a VM that no link stands to.
+	// ErrNoLink is the class of errors of sends to a VM to which no link is open.
 	ErrNoLink = errs.Class("no link")
-	// ErrHello is the class of links refused at their opening.
-	ErrHello = errs.Class("link refused")
+	// ErrRefused is the class of errors for which a link is refused: a failed handshake,
+	// or a message that is not binary.
+	ErrRefused = errs.Class("link refused")
 )
 
 // A Peer is the process at the other end of a link.
@@ -58,66 +60,67 @@
 	Boot              uint64
 }
 
-// A Config says who this process is.
+// A Config holds the identity of this process and the settings of its links.
 type Config struct {
 	VM, Zone, Address string
 	Boot              uint64
-	// Secret proves to other VMs that this is one of them.
+	// Secret is shared by all VMs and authenticates them to one another.
 	Secret []byte
-	// TLS is for links that this VM opens; nil means none.
+	// TLS configures links that this VM opens; nil disables TLS.
 	TLS *tls.Config
-	// Version is the protocol's; 0 means Version. Tests set another.
+	// Version is the protocol version; 0 means the constant Version. Tests set
+	// another one.
 	Version int
 }
 
-// A Linker is this VM's end of all links. It is safe for concurrent use.
+// A Linker manages all links of this VM. It is safe for concurrent use.
 type Linker struct {
-	c       Config
-	log     zerolog.Logger
-	client  *http.Client
-	dropped metrics.Counter
-	refused metrics.Counter
-	broken  metrics.Counter
-	links   metrics.Gauge
-
-	mu       sync.Mutex
-	handlers map[string]handler
-	peers    map[string]*link
-	dials    map[string]bool
-	closed   bool
-	wait     sync.WaitGroup
-	ctx      context.Context //nolint:containedctx // ends all links with Close
-	cancel   context.CancelFunc
-	state    func() []byte
-	fetches  map[uint64]chan []byte
-	nextID   uint64
+	config    Config
+	log       zerolog.Logger
+	client    *http.Client
+	dropped   metrics.Counter
+	refused   metrics.Counter
+	broken    metrics.Counter
+	openLinks metrics.Gauge
+
+	mu             sync.Mutex
+	handlers       map[string]handler
+	links          map[string]*link
+	dialling       map[string]bool
+	closed         bool
+	running        sync.WaitGroup
+	ctx            context.Context //nolint:containedctx // Close cancels it to end all links
+	cancel         context.CancelFunc
+	stateFunc      func() []byte
+	pendingFetches map[uint64]chan []byte
+	lastFetchID    uint64
 }
 
 type handler func(from Peer, data []byte) error
 
-// New returns a Linker without links.
+// New returns a Linker that has no links yet.
 func New(c Config, log zerolog.Logger, registry metrics.Registry) *Linker {
 	if c.Version == 0 {
 		c.Version = Version
 	}
-	transport := &http.Transport{TLSClientConfig: c.TLS, TLSHandshakeTimeout: helloTime}
+	transport := &http.Transport{TLSClientConfig: c.TLS, TLSHandshakeTimeout: handshakeTimeout}
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Linker{
-		c: c, log: log, client: &http.Client{Transport: transport},
-		dropped:  metrics.GetOrRegisterCounter("links.dropped", registry),
-		refused:  metrics.GetOrRegisterCounter("links.refused", registry),
-		broken:   metrics.GetOrRegisterCounter("links.broken", registry),
-		links:    metrics.GetOrRegisterGauge("links.open", registry),
-		handlers: map[string]handler{}, peers: map[string]*link{}, dials: map[string]bool{},
-		fetches: map[uint64]chan []byte{}, ctx: ctx, cancel: cancel,
+		config: c, log: log, client: &http.Client{Transport: transport},
+		dropped:   metrics.GetOrRegisterCounter("links.dropped", registry),
+		refused:   metrics.GetOrRegisterCounter("links.refused", registry),
+		broken:    metrics.GetOrRegisterCounter("links.broken", registry),
+		openLinks: metrics.GetOrRegisterGauge("links.open", registry),
+		handlers:  map[string]handler{}, links: map[string]*link{}, dialling: map[string]bool{},
+		pendingFetches: map[uint64]chan []byte{}, ctx: ctx, cancel: cancel,
 	}
-	l.registerFetch()
+	l.registerFetchHandlers()
 	return l
 }
 
-// Handle has f called with each message of a kind. Calls for one link come one
-// after another; f must not block. A message that can't be decoded as T closes
-// its link.
+// Handle registers f as the handler of messages of a kind. Calls for the same link are
+// sequential, and f must not block. A message that cannot be decoded as T closes its
+// link.
 func Handle[T any](l *Linker, kind string, f func(from Peer, m T)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,72 +134,72 @@
 	}
 }
 
-// Send queues a message for a VM. Without an error it may still be lost.
+// Send queues a message for a VM. The message may be lost even if Send returns no error.
 func Send[T any](l *Linker, to, kind string, m T) error { return send(l, to, kind, m, false) }
 
-// SendHeartbeat is Send for a message that the next of its kind replaces: it is the
-// first to go where the queue is full.
+// SendHeartbeat is like Send, for messages that the next one of the same kind supersedes.
+// They are dropped first when the queue is full.
 func SendHeartbeat[T any](l *Linker, to, kind string, m T) error { return send(l, to, kind, m, true) }
 
-func send[T any](l *Linker, to, kind string, m T, beat bool) error {
+func send[T any](l *Linker, to, kind string, m T, heartbeat bool) error {
 	data, err := recorder.Wrap(kind, m)
 	if err != nil {
 		return err
 	}
 	if len(data) > MaxMessageSize {
-		return ErrNoLink.New("message of %d bytes, at most %d", len(data), MaxMessageSize)
+		return ErrNoLink.New("message of %d bytes exceeds the limit of %d", len(data), MaxMessageSize)
 	}
 	l.mu.Lock()
-	k := l.peers[to]
+	k := l.links[to]
 	l.mu.Unlock()
 	if k == nil {
 		return ErrNoLink.New("%s", to)
 	}
-	if n := k.queue.put(data, beat); n > 0 {
+	if n := k.queue.push(data, heartbeat); n > 0 {
 		l.dropped.Inc(int64(n))
 	}
 	return nil
 }
 
-// Connect has the Linker hold a link to a VM at an address, where none stands. It
-// does not wait for it.
+// Connect starts to open a link to a VM at an address, unless one is open already or
+// being opened. It does not wait for the link.
 func (l *Linker) Connect(vm, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || vm == l.c.VM || l.peers[vm] != nil || l.dials[vm] {
+	if l.closed || vm == l.config.VM || l.links[vm] != nil || l.dialling[vm] {
 		return
 	}
-	l.dials[vm] = true
-	l.wait.Go(func() { l.dial(vm, address) })
+	l.dialling[vm] = true
+	l.running.Go(func() { l.dial(vm, address) })
 }
 
-// Connected lists the VMs that a link stands to.
+// Connected returns the names of the VMs to which a link is open.
 func (l *Linker) Connected() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]string, 0, len(l.peers))
-	for vm := range l.peers {
-		out = append(out, vm)
+	vms := make([]string, 0, len(l.links))
+	for vm := range l.links {
+		vms = append(vms, vm)
 	}
-	return out
+	return vms
 }
 
-// Cut closes the link to a VM.
-func (l *Linker) Cut(vm string) {
+// Disconnect closes the link to a VM.
+func (l *Linker) Disconnect(vm string) {
 	l.mu.Lock()
-	k := l.peers[vm]
+	k := l.links[vm]
 	l.mu.Unlock()
 	if k != nil {
 		k.stop()
 	}
 }
 
-// Close ends all links and waits for them.
+// Close closes all links and waits until they have ended.
 func (l *Linker) Close() {
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
 	l.cancel()
-	l.wait.Wait()
+	l.running.Wait()
 	l.client.CloseIdleConnections()
 }
--- a/entry/connection/linker/linker_test.go
+++ b/entry/connection/linker/linker_test.go
@@ -18,29 +18,29 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// far is a bound on events that normally take milliseconds.
-const far = 20 * time.Second
+// waitTimeout limits the wait for events that normally take milliseconds.
+const waitTimeout = 20 * time.Second
 
-type end struct {
+type testVM struct {
 	*linker.Linker
 	address  string
 	registry metrics.Registry
-	got      chan string
+	received chan string
 	server   *httptest.Server
 }
 
-func start(t *testing.T, c linker.Config) *end {
+func startVM(t *testing.T, c linker.Config) *testVM {
 	t.Helper()
 	if c.Secret == nil {
 		c.Secret = []byte("secret")
 	}
-	e := &end{registry: metrics.NewRegistry(), got: make(chan string, 1000)}
+	e := &testVM{registry: metrics.NewRegistry(), received: make(chan string, 1000)}
 	var l *linker.Linker
 	e.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { l.ServeHTTP(w, r) }))
 	e.address = strings.TrimPrefix(e.server.URL, "http://")
 	c.Address = e.address
 	l = linker.New(c, zerolog.Nop(), e.registry)
-	linker.Handle(l, "word", func(_ linker.Peer, m string) { e.got <- m })
+	linker.Handle(l, "word", func(_ linker.Peer, m string) { e.received <- m })
 	e.Linker = l
 	t.Cleanup(func() {
 		l.Close()
@@ -49,43 +49,43 @@
 	return e
 }
 
-func (e *end) counter(name string) int64 {
+func (e *testVM) counter(name string) int64 {
 	return metrics.GetOrRegisterCounter(name, e.registry).Count()
 }
 
-// until waits for an event that has no signal of its own.
-func until(t *testing.T, what string, f func() bool) {
+// waitUntil polls f until it returns true. what describes the awaited event.
+func waitUntil(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(far); !f(); time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(waitTimeout); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("%s did not come", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-func (e *end) wait(t *testing.T) string {
+func (e *testVM) nextMessage(t *testing.T) string {
 	t.Helper()
 	select {
-	case m := <-e.got:
+	case m := <-e.received:
 		return m
-	case <-time.After(far):
-		t.Fatal("no message came")
+	case <-time.After(waitTimeout):
+		t.Fatal("timed out waiting for a message")
 		return ""
 	}
 }
 
 func TestMessagesPassBothWays(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	a := start(t, linker.Config{VM: "a", Boot: 1})
-	b := start(t, linker.Config{VM: "b", Boot: 2})
-	// Both learn of one another together.
+	a := startVM(t, linker.Config{VM: "a", Boot: 1})
+	b := startVM(t, linker.Config{VM: "b", Boot: 2})
+	// Both discover each other at the same time.
 	a.Connect("b", b.address)
 	b.Connect("a", a.address)
-	until(t, "a link", func() bool { return len(a.Connected()) == 1 && len(b.Connected()) == 1 })
+	waitUntil(t, "a link", func() bool { return len(a.Connected()) == 1 && len(b.Connected()) == 1 })
 	assert.NilError(t, linker.Send(a.Linker, "b", "word", "there"))
-	assert.Equal(t, b.wait(t), "there")
+	assert.Equal(t, b.nextMessage(t), "there")
 	assert.NilError(t, linker.Send(b.Linker, "a", "word", "back"))
-	assert.Equal(t, a.wait(t), "back")
+	assert.Equal(t, a.nextMessage(t), "back")
 	a.Close()
 	b.Close()
 	a.server.Close()
@@ -93,12 +93,12 @@
 }
 
 func TestFetch(t *testing.T) {
-	a := start(t, linker.Config{VM: "a", Boot: 1})
-	b := start(t, linker.Config{VM: "b", Boot: 2})
+	a := startVM(t, linker.Config{VM: "a", Boot: 1})
+	b := startVM(t, linker.Config{VM: "b", Boot: 2})
 	b.ServeState(func() []byte { return []byte("state") })
 	a.Connect("b", b.address)
-	until(t, "a link", func() bool { return len(a.Connected()) == 1 })
-	ctx, cancel := context.WithTimeout(t.Context(), far)
+	waitUntil(t, "a link", func() bool { return len(a.Connected()) == 1 })
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	data, err := a.FetchState(ctx, "b")
 	assert.NilError(t, err)
@@ -107,10 +107,9 @@
 	assert.Assert(t, linker.ErrFetch.Has(err))
 }
 
-// A VM with another secret or protocol version, and one that answers at the
-// address of another, is refused. Without that a stranger could lend slots that
-// nobody has.
-func TestStrangersAreRefused(t *testing.T) {
+// A VM with another secret or protocol version, or one that responds at the address of
+// another VM, must be refused. Otherwise any process could lend slots that do not exist.
+func TestInvalidPeersAreRefused(t *testing.T) {
 	tests := []struct {
 		name string
 		c    linker.Config
@@ -123,62 +122,62 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			a := start(t, linker.Config{VM: "a", Boot: 1})
-			b := start(t, test.c)
+			a := startVM(t, linker.Config{VM: "a", Boot: 1})
+			b := startVM(t, test.c)
 			a.Connect(test.as, b.address)
-			until(t, "a refusal", func() bool { return a.counter("links.refused")+b.counter("links.refused") > 0 })
+			waitUntil(t, "a refusal", func() bool { return a.counter("links.refused")+b.counter("links.refused") > 0 })
 			assert.Equal(t, len(a.Connected()), 0)
 		})
 	}
 }
 
-// A VM was replaced and its new process uses the same name. Messages must reach
-// the new one, and a link of the old one must not push it out.
+// A VM is replaced, and the new process uses the same name. Messages must reach the new
+// process, and a link from the old one must not replace its link.
 func TestNewerProcessReplacesLink(t *testing.T) {
-	a := start(t, linker.Config{VM: "a", Boot: 1})
-	b1 := start(t, linker.Config{VM: "b", Boot: 2})
+	a := startVM(t, linker.Config{VM: "a", Boot: 1})
+	b1 := startVM(t, linker.Config{VM: "b", Boot: 2})
 	b1.Connect("a", a.address)
-	until(t, "the first link", func() bool { return len(a.Connected()) == 1 })
-	b2 := start(t, linker.Config{VM: "b", Boot: 3})
+	waitUntil(t, "the first link", func() bool { return len(a.Connected()) == 1 })
+	b2 := startVM(t, linker.Config{VM: "b", Boot: 3})
 	b2.Connect("a", a.address)
-	until(t, "the newer process", func() bool {
+	waitUntil(t, "the newer process", func() bool {
 		_ = linker.Send(a.Linker, "b", "word", "new")
-		return len(b2.got) > 0
+		return len(b2.received) > 0
 	})
 	b1.Connect("a", a.address)
-	until(t, "a refusal", func() bool { return a.counter("links.refused") > 0 })
+	waitUntil(t, "a refusal", func() bool { return a.counter("links.refused") > 0 })
 	assert.NilError(t, linker.Send(a.Linker, "b", "word", "still"))
-	until(t, "a message to the newer process", func() bool { return b2.wait(t) == "still" })
+	waitUntil(t, "a message to the newer process", func() bool { return b2.nextMessage(t) == "still" })
 }
 
-// A peer sends what is no message. Its link ends; others don't feel it.
+// A message that cannot be decoded ends the link it came over and no other.
 func TestBrokenMessageEndsItsLinkOnly(t *testing.T) {
-	a := start(t, linker.Config{VM: "a", Boot: 1})
-	b := start(t, linker.Config{VM: "b", Boot: 2})
-	c := start(t, linker.Config{VM: "c", Boot: 3})
+	a := startVM(t, linker.Config{VM: "a", Boot: 1})
+	b := startVM(t, linker.Config{VM: "b", Boot: 2})
+	c := startVM(t, linker.Config{VM: "c", Boot: 3})
 	a.Connect("b", b.address)
 	a.Connect("c", c.address)
-	until(t, "links", func() bool { return len(a.Connected()) == 2 && len(b.Connected()) == 1 && len(c.Connected()) == 1 })
-	assert.NilError(t, linker.Send(b.Linker, "a", "word", 7)) // no string
-	until(t, "the link's end", func() bool { return a.counter("links.broken") == 1 })
+	waitUntil(t, "links", func() bool { return len(a.Connected()) == 2 && len(b.Connected()) == 1 && len(c.Connected()) == 1 })
+	assert.NilError(t, linker.Send(b.Linker, "a", "word", 7)) // not a string
+	waitUntil(t, "the link's end", func() bool { return a.counter("links.broken") == 1 })
 	assert.NilError(t, linker.Send(c.Linker, "a", "unknown", 7))
 	assert.NilError(t, linker.Send(c.Linker, "a", "word", "fine"))
-	assert.Equal(t, a.wait(t), "fine")
+	assert.Equal(t, a.nextMessage(t), "fine")
 }
 
-// Something that is no VM connects and says nothing, or nonsense.
-func TestStrangerAtTheDoor(t *testing.T) {
-	a := start(t, linker.Config{VM: "a", Boot: 1})
-	ctx, cancel := context.WithTimeout(t.Context(), far)
+// A client that is not a VM connects and sends data that is not a handshake message.
+func TestInvalidHandshakeIsRefused(t *testing.T) {
+	a := startVM(t, linker.Config{VM: "a", Boot: 1})
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	conn, _, err := websocket.Dial(ctx, "ws://"+a.address, nil) //nolint:bodyclose // the library closes it
+	conn, _, err := websocket.Dial(ctx, "ws://"+a.address, nil) //nolint:bodyclose // closed by the library
 	assert.NilError(t, err)
 	defer conn.Close(websocket.StatusNormalClosure, "")
 	assert.NilError(t, conn.Write(ctx, websocket.MessageBinary, []byte("nonsense")))
-	until(t, "a refusal", func() bool { return a.counter("links.refused") == 1 })
+	waitUntil(t, "a refusal", func() bool { return a.counter("links.refused") == 1 })
 }
 
-// FuzzMessage feeds bytes of a peer through a link's reading.
+// FuzzMessage passes arbitrary bytes from a peer to dispatch.
 func FuzzMessage(f *testing.F) {
 	for _, seed := range []any{"word", 7, []string{"x"}} {
 		data, err := recorder.Wrap("word", seed)
