--- a/entry/connection/acceptor/acceptor.go
+++ b/entry/connection/acceptor/acceptor.go
@@ -1,11 +1,12 @@
-// Package acceptor serves callers' connections under limits that operators may
-// change while the process runs: connections that come after a change are held
-// to the new limits, and those that are open keep theirs until they end.
-// net/http reads a server's limits without a lock, so that each set of limits
-// has a server of its own, which goes with its last connection.
+// Package acceptor accepts and serves callers' connections with limits that operators
+// can change while the process runs. New limits apply to connections accepted after the
+// change; open connections keep their limits until they end. Because net/http reads a
+// server's limits without a lock, each set of limits has its own http.Server, which is
+// closed after its last connection.
 //
-// The connections are bounded. Callers that open more than a VM has descriptors
-// for would else leave none for upstreams, so that no request is served at all.
+// The number of connections is limited. Otherwise callers could use up the VM's file
+// descriptors, none would be left for connections to upstreams, and no request could
+// be served.
 package acceptor
 
 import (
@@ -24,103 +25,103 @@
 )
 
 const (
-	// headerTime and idleTime hold until a configuration says otherwise.
-	headerTime = 5 * time.Second
-	idleTime   = 30 * time.Second
-	// idleSpare is how much longer than they were told callers' idle
-	// connections are kept: one that reuses its connection in the last moment
-	// must not find it closed.
-	idleSpare = time.Second
-	// queued is how many accepted connections may wait for their server.
-	queued = 64
-	// acceptAgain is the wait after a failed accept, as when no descriptor is
-	// free.
-	acceptAgain = 20 * time.Millisecond
+	// defaultHeaderTimeout and defaultIdleTimeout apply until a configuration sets other
+	// values.
+	defaultHeaderTimeout = 5 * time.Second
+	defaultIdleTimeout   = 30 * time.Second
+	// idleGrace is added to the idle timeout that callers are told, so that a caller that
+	// reuses its connection at the last moment does not find it closed.
+	idleGrace = time.Second
+	// maxQueued is the maximum number of accepted connections queued for a server.
+	maxQueued = 64
+	// acceptRetryDelay is the delay after a failed accept, for example when no file
+	// descriptor is free.
+	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// An Acceptor hands connections to the server of the limits in force.
+// An Acceptor passes accepted connections to the server that has the current limits.
 type Acceptor struct {
 	listener net.Listener
 	handler  http.Handler
-	most     int
+	maxConns int
 	now      func() time.Time
 	log      zerolog.Logger
 
-	mu   sync.Mutex
-	open map[net.Conn]*held
-	// ended tells that a connection has ended.
-	ended   chan struct{}
-	limits  matcher.Limits
-	servers []*generation
-	current atomic.Pointer[generation]
-	done    chan struct{}
-	once    sync.Once
+	mu    sync.Mutex
+	conns map[net.Conn]*trackedConn
+	// connEnded signals that a connection has ended.
+	connEnded chan struct{}
+	limits    matcher.Limits
+	servers   []*limitedServer
+	current   atomic.Pointer[limitedServer]
+	done      chan struct{}
+	once      sync.Once
 }
 
-// A generation is the server of one set of limits, and the listener through
-// which it is handed connections.
-type generation struct {
+// A limitedServer is an http.Server with one set of limits. It implements net.Listener,
+// through which it receives its connections.
+type limitedServer struct {
 	server *http.Server
-	// open is how many of its connections are.
-	open    int
-	address net.Addr
-	conns   chan net.Conn
-	done    chan struct{}
-	once    sync.Once
+	// connCount is the number of open connections.
+	connCount int
+	address   net.Addr
+	conns     chan net.Conn
+	done      chan struct{}
+	once      sync.Once
 }
 
-// New returns an Acceptor that serves a listener's connections, at most so many
-// at a time.
-func New(l net.Listener, h http.Handler, most int, now func() time.Time, log zerolog.Logger) *Acceptor {
+// New returns an Acceptor that serves the connections of a listener, at most maxConns of
+// them at a time.
+func New(l net.Listener, h http.Handler, maxConns int, now func() time.Time, log zerolog.Logger) *Acceptor {
 	a := &Acceptor{
-		listener: l, handler: h, most: most, now: now, log: log,
-		open: make(map[net.Conn]*held), ended: make(chan struct{}, 1), done: make(chan struct{}),
+		listener: l, handler: h, maxConns: maxConns, now: now, log: log,
+		conns: make(map[net.Conn]*trackedConn), connEnded: make(chan struct{}, 1), done: make(chan struct{}),
 	}
-	a.SetLimits(matcher.Limits{HeaderTime: headerTime, IdleTime: idleTime})
+	a.SetLimits(matcher.Limits{HeaderTime: defaultHeaderTimeout, IdleTime: defaultIdleTimeout})
 	return a
 }
 
-// SetLimits puts limits in force for the connections that come from now on.
+// SetLimits sets the limits of connections that are accepted from now on.
 func (a *Acceptor) SetLimits(l matcher.Limits) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if old := a.current.Load(); old != nil && l == a.limits {
+	if previous := a.current.Load(); previous != nil && l == a.limits {
 		return
 	}
 	a.limits = l
-	g := &generation{address: a.listener.Addr(), conns: make(chan net.Conn, queued), done: make(chan struct{})}
+	g := &limitedServer{address: a.listener.Addr(), conns: make(chan net.Conn, maxQueued), done: make(chan struct{})}
 	g.server = &http.Server{
 		Handler:           http.HandlerFunc(a.serve),
-		ConnContext:       a.context,
-		ConnState:         a.state,
+		ConnContext:       a.connContext,
+		ConnState:         a.connState,
 		ReadHeaderTimeout: l.HeaderTime,
-		IdleTimeout:       l.IdleTime + idleSpare,
+		IdleTimeout:       l.IdleTime + idleGrace,
 		MaxHeaderBytes:    int(l.Header),
 	}
 	go func() {
 		if err := g.server.Serve(g); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			a.log.Error().Err(err).Msg("serving callers ended")
+			a.log.Error().Err(err).Msg("server for caller connections failed")
 		}
 	}()
 	a.servers = append(a.servers, g)
-	old := a.current.Swap(g)
-	a.retire(old)
+	previous := a.current.Swap(g)
+	a.closeIfUnused(previous)
 }
 
-// retire ends a server that has no connection and gets none any more. Without it
-// each change of the limits would leave one behind.
-func (a *Acceptor) retire(g *generation) {
-	if g == nil || g.open > 0 || g == a.current.Load() {
+// closeIfUnused closes a server that has no connections and will not receive any more.
+// Otherwise each change of the limits would leave a server behind.
+func (a *Acceptor) closeIfUnused(g *limitedServer) {
+	if g == nil || g.connCount > 0 || g == a.current.Load() {
 		return
 	}
-	a.servers = slices.DeleteFunc(a.servers, func(o *generation) bool { return o == g })
+	a.servers = slices.DeleteFunc(a.servers, func(o *limitedServer) bool { return o == g })
 	g.server.Close()
 }
 
-// Run accepts connections until Shutdown.
+// Run accepts connections until Shutdown is called.
 func (a *Acceptor) Run() {
 	for {
-		a.makeRoom()
+		a.waitForCapacity()
 		c, err := a.listener.Accept()
 		select {
 		case <-a.done:
@@ -131,12 +132,12 @@
 		default:
 		}
 		if err != nil {
-			a.log.Warn().Err(err).Msg("connection not accepted")
-			time.Sleep(acceptAgain)
+			a.log.Warn().Err(err).Msg("accepting a connection failed")
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		select {
-		case a.hold(c).conns <- c:
+		case a.track(c).conns <- c:
 		case <-a.done:
 			c.Close()
 			return
@@ -144,23 +145,23 @@
 	}
 }
 
-// Shutdown closes the listener and waits for the requests in progress, as long
-// as the context lasts.
+// Shutdown closes the listener and waits until the requests in progress have completed
+// or the context has ended.
 func (a *Acceptor) Shutdown(ctx context.Context) error {
 	a.once.Do(func() { close(a.done) })
 	a.listener.Close()
 	a.mu.Lock()
 	servers := slices.Clone(a.servers)
 	a.mu.Unlock()
-	var all []error
+	var shutdownErrs []error
 	for _, g := range servers {
-		all = append(all, g.server.Shutdown(ctx))
+		shutdownErrs = append(shutdownErrs, g.server.Shutdown(ctx))
 	}
-	return errors.Join(all...)
+	return errors.Join(shutdownErrs...)
 }
 
-// Accept gives the next connection.
-func (g *generation) Accept() (net.Conn, error) {
+// Accept returns the next connection passed to the server.
+func (g *limitedServer) Accept() (net.Conn, error) {
 	select {
 	case c := <-g.conns:
 		return c, nil
@@ -169,11 +170,11 @@
 	}
 }
 
-// Close ends Accept.
-func (g *generation) Close() error {
+// Close makes Accept return net.ErrClosed.
+func (g *limitedServer) Close() error {
 	g.once.Do(func() { close(g.done) })
 	return nil
 }
 
-// Addr is the listener's address.
-func (g *generation) Addr() net.Addr { return g.address }
+// Addr returns the address of the Acceptor's listener.
+func (g *limitedServer) Addr() net.Addr { return g.address }
--- a/entry/connection/acceptor/acceptor_test.go
+++ b/entry/connection/acceptor/acceptor_test.go
@@ -28,11 +28,11 @@
 	return startWith(t, h, 1000)
 }
 
-func startWith(t *testing.T, h http.Handler, most int) (*acceptor.Acceptor, string) {
+func startWith(t *testing.T, h http.Handler, maxConns int) (*acceptor.Acceptor, string) {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	a := acceptor.New(l, h, most, time.Now, zerolog.Nop())
+	a := acceptor.New(l, h, maxConns, time.Now, zerolog.Nop())
 	go a.Run()
 	t.Cleanup(func() { assert.Check(t, a.Shutdown(context.Background())) })
 	return a, l.Addr().String()
@@ -46,7 +46,7 @@
 	return c, bufio.NewReader(c)
 }
 
-func ask(t *testing.T, c net.Conn, r *bufio.Reader, header string) int {
+func get(t *testing.T, c net.Conn, r *bufio.Reader, header string) int {
 	t.Helper()
 	fmt.Fprintf(c, "GET / HTTP/1.1\r\nHost: a\r\n%s\r\n", header)
 	reply, err := http.ReadResponse(r, nil)
@@ -59,21 +59,21 @@
 
 var ok = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 
-// A new version of the configuration changes the limits while callers are
-// connected: nobody is cut off, and whoever comes after is held to the new ones.
+// The limits change while callers are connected. Open connections must not be closed and
+// keep the old limits; new connections get the new limits.
 func TestLimitsChangeForNewConnectionsOnly(t *testing.T) {
 	a, address := start(t, ok)
 	a.SetLimits(matcher.Limits{Header: 16 << 10, HeaderTime: time.Minute, IdleTime: time.Minute})
 	old, oldReader := dial(t, address)
 	long := "X-A: " + strings.Repeat("a", 10<<10) + "\r\n"
-	assert.Equal(t, ask(t, old, oldReader, long), http.StatusOK)
+	assert.Equal(t, get(t, old, oldReader, long), http.StatusOK)
 	a.SetLimits(matcher.Limits{Header: 1 << 10, HeaderTime: time.Minute, IdleTime: time.Minute})
-	assert.Equal(t, ask(t, old, oldReader, long), http.StatusOK)
+	assert.Equal(t, get(t, old, oldReader, long), http.StatusOK)
 	fresh, freshReader := dial(t, address)
-	assert.Equal(t, ask(t, fresh, freshReader, long), http.StatusRequestHeaderFieldsTooLarge)
+	assert.Equal(t, get(t, fresh, freshReader, long), http.StatusRequestHeaderFieldsTooLarge)
 }
 
-// Whoever sends half a request and stops would hold a connection forever.
+// A client that sends an incomplete request header must not hold a connection forever.
 func TestHalfARequestEndsAtItsTime(t *testing.T) {
 	a, address := start(t, ok)
 	a.SetLimits(matcher.Limits{Header: 1 << 10, HeaderTime: 100 * time.Millisecond, IdleTime: time.Minute})
@@ -84,8 +84,7 @@
 	assert.NilError(t, err, "the connection must end")
 }
 
-// A planned stop waits for the requests in progress, on connections of all
-// limits.
+// Shutdown must wait for the requests in progress on connections of all sets of limits.
 func TestShutdownWaitsForRequests(t *testing.T) {
 	begun, end := make(chan struct{}, 2), make(chan struct{})
 	a, address := start(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -96,7 +95,7 @@
 	statuses := make(chan int, 2)
 	for i := range 2 {
 		c, r := dial(t, address)
-		go func() { statuses <- ask(t, c, r, "") }()
+		go func() { statuses <- get(t, c, r, "") }()
 		<-begun
 		a.SetLimits(matcher.Limits{Header: int64(1+i) << 10})
 	}
@@ -110,11 +109,12 @@
 	assert.Equal(t, <-statuses, http.StatusOK)
 }
 
-// Callers open connections and leave them idle, or send half a request on each.
-// Without a bound they take every descriptor, and no request goes to an upstream.
-// Those that have waited longest give way, and whoever has a request keeps it.
+// Callers open connections and leave them idle, or send an incomplete request on each.
+// Without a limit they would use up the file descriptors, and no request could be sent to
+// an upstream. The connections that have waited longest must be closed, but none that
+// serves a request.
 func TestIdleAndHalfSentConnectionsGiveWay(t *testing.T) {
-	const most = 20
+	const maxConns = 20
 	begun, end := make(chan struct{}, 1), make(chan struct{})
 	_, address := startWith(t, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.Header.Get("X-Wait") != "" {
@@ -122,16 +122,16 @@
 			<-end
 		}
 		w.WriteHeader(http.StatusOK)
-	}), most)
+	}), maxConns)
 	release := sync.OnceFunc(func() { close(end) })
 	t.Cleanup(release)
 	busy, busyReader := dial(t, address)
 	statuses := make(chan int, 1)
-	go func() { statuses <- ask(t, busy, busyReader, "X-Wait: 1\r\n") }()
+	go func() { statuses <- get(t, busy, busyReader, "X-Wait: 1\r\n") }()
 	<-begun
 	var idle []net.Conn
 	began := time.Now()
-	for i := range 10 * most {
+	for i := range 10 * maxConns {
 		c, _ := dial(t, address)
 		idle = append(idle, c)
 		if i%2 == 0 {
@@ -139,8 +139,8 @@
 		}
 	}
 	last, lastReader := dial(t, address)
-	assert.Equal(t, ask(t, last, lastReader, ""), http.StatusOK)
-	assert.Assert(t, time.Since(began) < 5*time.Second, "a caller waits behind those that do nothing")
+	assert.Equal(t, get(t, last, lastReader, ""), http.StatusOK)
+	assert.Assert(t, time.Since(began) < 5*time.Second, "a caller had to wait for connections without a request")
 	still := 0
 	for _, c := range idle {
 		assert.NilError(t, c.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
@@ -148,13 +148,13 @@
 			still++
 		}
 	}
-	assert.Assert(t, still <= most-2, "%d are open beside the two that were served", still)
+	assert.Assert(t, still <= maxConns-2, "%d connections are open besides the two that sent a request", still)
 	release()
 	assert.Equal(t, <-statuses, http.StatusOK)
 }
 
-// Versions of the configuration come all day, and each may change the limits. A
-// server left behind by each would in time take the VM's memory.
+// Each new version of the configuration may change the limits. If the servers of old
+// limits were not closed, they would eventually exhaust the VM's memory.
 func TestServersOfOldLimitsEnd(t *testing.T) {
 	a, address := start(t, ok)
 	before := runtime.NumGoroutine()
@@ -162,7 +162,7 @@
 		a.SetLimits(matcher.Limits{Header: int64(1000 + i), HeaderTime: time.Minute, IdleTime: time.Minute})
 		if i%50 == 0 {
 			c, r := dial(t, address)
-			assert.Equal(t, ask(t, c, r, ""), http.StatusOK)
+			assert.Equal(t, get(t, c, r, ""), http.StatusOK)
 			c.Close()
 		}
 	}
--- a/entry/connection/acceptor/held.go
+++ b/entry/connection/acceptor/held.go
@@ -7,66 +7,67 @@
 	"time"
 )
 
-// A held connection is one that is open.
-type held struct {
-	generation *generation
-	// serving says that a whole request's head has come and its answer has not
-	// ended; since is when that last changed.
+// A trackedConn holds the state of an open connection.
+type trackedConn struct {
+	server *limitedServer
+	// serving is set while a request is being served: from its complete header to the
+	// end of its response. since is the time of the last change of serving.
 	serving bool
 	since   time.Time
-	// closed says that it has been closed to make room, and ends soon.
-	closed bool
+	// evicted is set once the connection has been closed to free capacity. It ends
+	// soon after.
+	evicted bool
 }
 
-// heldKey finds a request's connection in its context.
-type heldKey struct{}
+// connKey is the context key of the trackedConn of a request's connection.
+type connKey struct{}
 
-// hold counts a connection, and gives the server that is to have it.
-func (a *Acceptor) hold(c net.Conn) *generation {
+// track records an accepted connection and returns the server to pass it to.
+func (a *Acceptor) track(c net.Conn) *limitedServer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	g := a.current.Load()
-	g.open++
-	a.open[c] = &held{generation: g, since: a.now()}
+	g.connCount++
+	a.conns[c] = &trackedConn{server: g, since: a.now()}
 	return g
 }
 
-// context lets requests find their connection.
-func (a *Acceptor) context(ctx context.Context, c net.Conn) context.Context {
+// connContext adds the trackedConn of a connection to the context of its requests.
+func (a *Acceptor) connContext(ctx context.Context, c net.Conn) context.Context {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return context.WithValue(ctx, heldKey{}, a.open[c])
+	return context.WithValue(ctx, connKey{}, a.conns[c])
 }
 
-// state takes out connections that have ended.
-func (a *Acceptor) state(c net.Conn, s http.ConnState) {
+// connState removes connections that have ended.
+func (a *Acceptor) connState(c net.Conn, s http.ConnState) {
 	if s != http.StateClosed && s != http.StateHijacked {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	h, ok := a.open[c]
+	h, ok := a.conns[c]
 	if !ok {
 		return
 	}
-	delete(a.open, c)
+	delete(a.conns, c)
 	select {
-	case a.ended <- struct{}{}:
+	case a.connEnded <- struct{}{}:
 	default:
 	}
-	h.generation.open--
-	a.retire(h.generation)
+	h.server.connCount--
+	a.closeIfUnused(h.server)
 }
 
-// serve notes which connections have a request.
-func (a *Acceptor) serve(w http.ResponseWriter, q *http.Request) {
-	h, _ := q.Context().Value(heldKey{}).(*held)
-	a.mark(h, true)
-	defer a.mark(h, false)
-	a.handler.ServeHTTP(w, q)
+// serve passes a request to the handler and marks its connection as serving meanwhile.
+func (a *Acceptor) serve(w http.ResponseWriter, r *http.Request) {
+	h, _ := r.Context().Value(connKey{}).(*trackedConn)
+	a.setServing(h, true)
+	defer a.setServing(h, false)
+	a.handler.ServeHTTP(w, r)
 }
 
-func (a *Acceptor) mark(h *held, serving bool) {
+func (a *Acceptor) setServing(h *trackedConn, serving bool) {
 	if h == nil {
 		return
 	}
@@ -75,15 +76,16 @@
 	h.serving, h.since = serving, a.now()
 }
 
-// makeRoom waits until one connection more may be open. Of those that have no
-// request, idle or with half of one sent, it closes the one that has been so for
-// longest: its caller may open another, and sends nothing twice.
-func (a *Acceptor) makeRoom() {
+// waitForCapacity waits until another connection may be open. At the limit, it closes the
+// connection that has been without a complete request for longest, whether idle or in the
+// middle of a request header: its caller can open a new connection without sending a
+// request twice.
+func (a *Acceptor) waitForCapacity() {
 	for {
 		a.mu.Lock()
-		full := len(a.open) >= a.most
+		full := len(a.conns) >= a.maxConns
 		if full {
-			a.closeOldest()
+			a.evictOldest()
 		}
 		a.mu.Unlock()
 		if !full {
@@ -92,23 +94,23 @@
 		select {
 		case <-a.done:
 			return
-		case <-a.ended:
+		case <-a.connEnded:
 		}
 	}
 }
 
-func (a *Acceptor) closeOldest() {
+func (a *Acceptor) evictOldest() {
 	var oldest net.Conn
 	var since time.Time
-	for c, h := range a.open {
-		if !h.serving && !h.closed && (oldest == nil || h.since.Before(since)) {
+	for c, h := range a.conns {
+		if !h.serving && !h.evicted && (oldest == nil || h.since.Before(since)) {
 			oldest, since = c, h.since
 		}
 	}
 	if oldest == nil {
 		return
 	}
-	a.open[oldest].closed = true
-	a.log.Info().Str("caller", oldest.RemoteAddr().String()).Int("most", a.most).Msg("connection closed to make room")
+	a.conns[oldest].evicted = true
+	a.log.Info().Str("caller", oldest.RemoteAddr().String()).Int("most", a.maxConns).Msg("closed a connection without a request: connection limit reached")
 	oldest.Close()
 }
