--- a/entry/connection/acceptor/acceptor.go
+++ b/entry/connection/acceptor/acceptor.go
@@ -77,7 +77,7 @@
 		listener: l, handler: h, maxConns: maxConns, now: now, log: log,
 		conns: make(map[net.Conn]*trackedConn), connEnded: make(chan struct{}, 1), done: make(chan struct{}),
 	}
-	a.SetLimits(matcher.Limits{HeaderTime: defaultHeaderTimeout, IdleTime: defaultIdleTimeout})
+	a.SetLimits(matcher.Limits{HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout})
 	return a
 }
 
@@ -94,9 +94,9 @@
 		Handler:           http.HandlerFunc(a.serve),
 		ConnContext:       a.connContext,
 		ConnState:         a.connState,
-		ReadHeaderTimeout: l.HeaderTime,
-		IdleTimeout:       l.IdleTime + idleGrace,
-		MaxHeaderBytes:    int(l.Header),
+		ReadHeaderTimeout: l.HeaderTimeout,
+		IdleTimeout:       l.IdleTimeout + idleGrace,
+		MaxHeaderBytes:    int(l.MaxHeaderBytes),
 	}
 	go func() {
 		if err := g.server.Serve(g); err != nil && !errors.Is(err, http.ErrServerClosed) {
--- a/entry/connection/acceptor/acceptor_test.go
+++ b/entry/connection/acceptor/acceptor_test.go
@@ -63,11 +63,11 @@
 // keep the old limits; new connections get the new limits.
 func TestLimitsChangeForNewConnectionsOnly(t *testing.T) {
 	a, address := start(t, ok)
-	a.SetLimits(matcher.Limits{Header: 16 << 10, HeaderTime: time.Minute, IdleTime: time.Minute})
+	a.SetLimits(matcher.Limits{MaxHeaderBytes: 16 << 10, HeaderTimeout: time.Minute, IdleTimeout: time.Minute})
 	old, oldReader := dial(t, address)
 	long := "X-A: " + strings.Repeat("a", 10<<10) + "\r\n"
 	assert.Equal(t, get(t, old, oldReader, long), http.StatusOK)
-	a.SetLimits(matcher.Limits{Header: 1 << 10, HeaderTime: time.Minute, IdleTime: time.Minute})
+	a.SetLimits(matcher.Limits{MaxHeaderBytes: 1 << 10, HeaderTimeout: time.Minute, IdleTimeout: time.Minute})
 	assert.Equal(t, get(t, old, oldReader, long), http.StatusOK)
 	fresh, freshReader := dial(t, address)
 	assert.Equal(t, get(t, fresh, freshReader, long), http.StatusRequestHeaderFieldsTooLarge)
@@ -76,7 +76,7 @@
 // A client that sends an incomplete request header must not hold a connection forever.
 func TestHalfARequestEndsAtItsTime(t *testing.T) {
 	a, address := start(t, ok)
-	a.SetLimits(matcher.Limits{Header: 1 << 10, HeaderTime: 100 * time.Millisecond, IdleTime: time.Minute})
+	a.SetLimits(matcher.Limits{MaxHeaderBytes: 1 << 10, HeaderTimeout: 100 * time.Millisecond, IdleTimeout: time.Minute})
 	c, r := dial(t, address)
 	fmt.Fprint(c, "GET / HTTP/1.1\r\nHost")
 	assert.NilError(t, c.SetReadDeadline(time.Now().Add(10*time.Second)))
@@ -97,7 +97,7 @@
 		c, r := dial(t, address)
 		go func() { statuses <- get(t, c, r, "") }()
 		<-begun
-		a.SetLimits(matcher.Limits{Header: int64(1+i) << 10})
+		a.SetLimits(matcher.Limits{MaxHeaderBytes: int64(1+i) << 10})
 	}
 	stopped := make(chan error, 1)
 	go func() { stopped <- a.Shutdown(t.Context()) }()
@@ -159,7 +159,7 @@
 	a, address := start(t, ok)
 	before := runtime.NumGoroutine()
 	for i := range 200 {
-		a.SetLimits(matcher.Limits{Header: int64(1000 + i), HeaderTime: time.Minute, IdleTime: time.Minute})
+		a.SetLimits(matcher.Limits{MaxHeaderBytes: int64(1000 + i), HeaderTimeout: time.Minute, IdleTimeout: time.Minute})
 		if i%50 == 0 {
 			c, r := dial(t, address)
 			assert.Equal(t, get(t, c, r, ""), http.StatusOK)
--- a/entry/process/scheduler/queue.go
+++ b/entry/process/scheduler/queue.go
@@ -184,7 +184,7 @@
 			c.Load = *l
 		}
 		c.Load.Add(s.assumedLoadAt(u.Slots))
-		if rate := r.Service.ColdRate; rate > 0 && c.Cold {
+		if rate := r.Service.ColdStartRate; rate > 0 && c.Cold {
 			c.Quota = s.coldLimiter(u.ID).Available(now, s.deps.ColdQuota(u.ID, rate))
 		}
 		if u.Limit.Limited {
--- a/entry/process/server/configure.go
+++ b/entry/process/server/configure.go
@@ -20,7 +20,7 @@
 		v.log.Info().Uint64("version", view.Version).Msg("configuration in force")
 	}
 	v.meter.Count("configuration.changes", 1)
-	v.deduplicator.Limit(deduplicator.Limits{Window: time.Duration(view.Manifest.Window), Margin: deduplicator.DefaultMargin})
+	v.deduplicator.SetLimits(deduplicator.Limits{Window: time.Duration(view.Manifest.Window), MaxClockSkew: deduplicator.DefaultMaxClockSkew})
 	v.coordinator.Configure(upstreams(view), view.Manifest.Seats)
 	if err := v.dispatcher.Configure(view); err != nil {
 		v.log.Error().Err(err).Msg("the configuration could not be put in force")
@@ -33,7 +33,7 @@
 	var us []coordinator.Upstream
 	for _, u := range v.Upstreams() {
 		us = append(us, coordinator.Upstream{
-			Name: u.Name, Address: u.Address, Zone: u.Zone, Slots: u.Slots, Cold: u.Cold, Memory: u.Memory, Out: u.Out,
+			Name: u.Name, Address: u.Address, Zone: u.Zone, Slots: u.Slots, Cold: u.Cold, Memory: u.Memory, Out: u.OutOfService,
 			Longest: longest(v, u),
 		})
 	}
@@ -59,7 +59,7 @@
 	if view == nil {
 		return false
 	}
-	return view.Out(viewer.KindVM, v.settings.ID) || view.Out(viewer.KindZone, v.settings.Zone)
+	return view.OutOfService(viewer.KindVM, v.settings.ID) || view.OutOfService(viewer.KindZone, v.settings.Zone)
 }
 
 // configured is the readiness of the configuration.
--- a/entry/process/server/coordination.go
+++ b/entry/process/server/coordination.go
@@ -39,7 +39,7 @@
 		Ticker: v.ticker, Registry: v.meter.Registry(), Logger: v.log,
 	})
 	v.canceller = canceller.New(v.upstream, v.ticker, v.meter.Registry())
-	v.deduplicator = deduplicator.New(deduplicator.Config{VM: s.ID, Boot: v.boot, Limits: deduplicator.Limits{Window: firstWindow, Margin: deduplicator.DefaultMargin}, Body: deduplicator.DefaultBody}, v.records, v.ticker, v.coordinator.Gone, v.meter)
+	v.deduplicator = deduplicator.New(deduplicator.Config{VM: s.ID, Boot: v.boot, Limits: deduplicator.Limits{Window: firstWindow, MaxClockSkew: deduplicator.DefaultMaxClockSkew}, MaxStoredBody: deduplicator.DefaultMaxStoredBody}, v.records, v.ticker, v.coordinator.Gone, v.meter)
 }
 
 // read is how far this VM has read the configuration, for heartbeats.
@@ -95,7 +95,7 @@
 }
 
 // Known tells whether a stream of this process is in progress.
-func (o owner) Known(id string) bool { return o.server.chatter.Known(id) }
+func (o owner) Known(id string) bool { return o.server.chatter.InProgress(id) }
 
 // Gone tells that a process has certainly been stopped.
 func (o owner) Gone(vm string, boot uint64) bool { return o.server.coordinator.Gone(vm, boot) }
