--- a/entry/connection/carrier/carrier.go
+++ b/entry/connection/carrier/carrier.go
@@ -71,10 +71,10 @@
 }
 
 // Error returns the text of the cause.
-func (f *SendError) Error() string { return f.Err.Error() }
+func (e *SendError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the cause.
-func (f *SendError) Unwrap() error { return f.Err }
+func (e *SendError) Unwrap() error { return e.Err }
 
 // A Request is an HTTP request to an upstream.
 type Request struct {
--- a/entry/connection/carrier/carrier_test.go
+++ b/entry/connection/carrier/carrier_test.go
@@ -43,7 +43,7 @@
 
 // respondWith returns a script that responds with the same bytes to every request on a
 // connection.
-func respondWith(answer string) func(int, net.Conn, *bufio.Reader) {
+func respondWith(response string) func(int, net.Conn, *bufio.Reader) {
 	return func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			q, err := http.ReadRequest(r)
@@ -53,7 +53,7 @@
 			if _, err := io.Copy(io.Discard, q.Body); err != nil {
 				return
 			}
-			if _, err := io.WriteString(c, answer); err != nil {
+			if _, err := io.WriteString(c, response); err != nil {
 				return
 			}
 		}
@@ -96,9 +96,9 @@
 		io.WriteString(c, ok) //nolint:errcheck // the test reads it
 	})
 	q := carrier.Request{Method: http.MethodPut, Target: "/a//b/../%2f%41?x=%20;y&", Host: "Host.example:80", Header: http.Header{"X-A": {"1", "2"}}, Body: []byte("abc")}
-	answer, err := roundTrip(t, carrier.New(time.Now), address, q)
+	response, err := roundTrip(t, carrier.New(time.Now), address, q)
 	assert.NilError(t, err)
-	assert.Equal(t, answer, "hi")
+	assert.Equal(t, response, "hi")
 	assert.Equal(t, <-got, "PUT /a//b/../%2f%41?x=%20;y& HTTP/1.1\r\nHost: Host.example:80\r\nX-A: 1\r\nX-A: 2\r\nContent-Length: 3\r\n\r\nabc")
 }
 
@@ -132,28 +132,28 @@
 // extra bytes would be taken for the response to the next request.
 func TestConnectionsAreKeptOnlyWhenClean(t *testing.T) {
 	tests := []struct {
-		name, answer string
-		fresh        bool
-		want         int64
+		name, response string
+		fresh          bool
+		want           int64
 	}{
-		{name: "whole", answer: ok, want: 1},
-		{name: "chunked", answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", want: 1},
-		{name: "asked to close", answer: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", want: 2},
-		{name: "more than one answer", answer: ok + ok, want: 2},
-		{name: "stray bytes", answer: ok + "x", want: 2},
-		{name: "kept for no time", answer: "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nhi", want: 2},
-		{name: "must be fresh", answer: ok, fresh: true, want: 2},
+		{name: "whole", response: ok, want: 1},
+		{name: "chunked", response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", want: 1},
+		{name: "asked to close", response: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", want: 2},
+		{name: "more than one answer", response: ok + ok, want: 2},
+		{name: "stray bytes", response: ok + "x", want: 2},
+		{name: "kept for no time", response: "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nhi", want: 2},
+		{name: "must be fresh", response: ok, fresh: true, want: 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			address, conns := startUpstream(t, respondWith(test.answer))
+			address, conns := startUpstream(t, respondWith(test.response))
 			c := carrier.New(time.Now)
 			for range 2 {
 				q := getRequest()
 				q.NewConnection = test.fresh
-				answer, err := roundTrip(t, c, address, q)
+				response, err := roundTrip(t, c, address, q)
 				assert.NilError(t, err)
-				assert.Equal(t, answer, "hi")
+				assert.Equal(t, response, "hi")
 				time.Sleep(20 * time.Millisecond)
 			}
 			assert.Equal(t, conns.Load(), test.want)
@@ -179,7 +179,7 @@
 
 // A truncated response must be reported as an error, never as a complete response.
 func TestCutAnswersAreErrors(t *testing.T) {
-	for _, answer := range []string{
+	for _, response := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n",
@@ -188,11 +188,11 @@
 	} {
 		address, _ := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			if _, err := http.ReadRequest(r); err == nil {
-				io.WriteString(c, answer) //nolint:errcheck // the test reads it
+				io.WriteString(c, response) //nolint:errcheck // the test reads it
 			}
 		})
 		_, err := roundTrip(t, carrier.New(time.Now), address, getRequest())
-		assert.Assert(t, err != nil, "%q", answer)
+		assert.Assert(t, err != nil, "%q", response)
 	}
 }
 
@@ -210,9 +210,9 @@
 				c.(*net.TCPConn).SetLinger(0) //nolint:errcheck,forcetypeassert // a TCP connection
 			}
 		})
-		answer, err := roundTrip(t, carrier.New(time.Now), address, getRequest())
+		response, err := roundTrip(t, carrier.New(time.Now), address, getRequest())
 		assert.Equal(t, err != nil, reset)
-		assert.Equal(t, answer, "hi")
+		assert.Equal(t, response, "hi")
 	}
 }
 
@@ -228,9 +228,9 @@
 	})
 	c := carrier.New(time.Now)
 	q := carrier.Request{Method: http.MethodPost, Target: "/", Host: "a", Body: make([]byte, 64<<20)}
-	answer, err := roundTrip(t, c, address, q)
+	response, err := roundTrip(t, c, address, q)
 	assert.NilError(t, err)
-	assert.Equal(t, answer, "no")
+	assert.Equal(t, response, "no")
 	_, err = roundTrip(t, c, address, getRequest())
 	assert.NilError(t, err)
 	assert.Equal(t, conns.Load(), int64(2), "the first connection still has a part of the body to send")
--- a/entry/connection/linker/linker_test.go
+++ b/entry/connection/linker/linker_test.go
@@ -34,23 +34,23 @@
 	if c.Secret == nil {
 		c.Secret = []byte("secret")
 	}
-	e := &testVM{registry: metrics.NewRegistry(), received: make(chan string, 1000)}
+	v := &testVM{registry: metrics.NewRegistry(), received: make(chan string, 1000)}
 	var l *linker.Linker
-	e.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { l.ServeHTTP(w, r) }))
-	e.address = strings.TrimPrefix(e.server.URL, "http://")
-	c.Address = e.address
-	l = linker.New(c, zerolog.Nop(), e.registry)
-	linker.Handle(l, "word", func(_ linker.Peer, m string) { e.received <- m })
-	e.Linker = l
+	v.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { l.ServeHTTP(w, r) }))
+	v.address = strings.TrimPrefix(v.server.URL, "http://")
+	c.Address = v.address
+	l = linker.New(c, zerolog.Nop(), v.registry)
+	linker.Handle(l, "word", func(_ linker.Peer, m string) { v.received <- m })
+	v.Linker = l
 	t.Cleanup(func() {
 		l.Close()
-		e.server.Close()
+		v.server.Close()
 	})
-	return e
+	return v
 }
 
-func (e *testVM) counter(name string) int64 {
-	return metrics.GetOrRegisterCounter(name, e.registry).Count()
+func (v *testVM) counter(name string) int64 {
+	return metrics.GetOrRegisterCounter(name, v.registry).Count()
 }
 
 // waitUntil polls f until it returns true. what describes the awaited event.
@@ -63,10 +63,10 @@
 	}
 }
 
-func (e *testVM) nextMessage(t *testing.T) string {
+func (v *testVM) nextMessage(t *testing.T) string {
 	t.Helper()
 	select {
-	case m := <-e.received:
+	case m := <-v.received:
 		return m
 	case <-time.After(waitTimeout):
 		t.Fatal("timed out waiting for a message")
