--- a/entry/process/keeper/keeper.go
+++ b/entry/process/keeper/keeper.go
@@ -42,7 +42,7 @@
 type Quarantine interface {
 	PendingChanges(own bool) [][]byte
 	All() [][]byte
-	MergeOlder(data []byte, age time.Duration) (news bool)
+	MergeOlder(data []byte, age time.Duration) (changed bool)
 	Reconcile() (keep []quarantiner.Record, drop []quarantiner.Fingerprint)
 	MarkStored(r quarantiner.Record)
 }
--- a/entry/process/observer/observer.go
+++ b/entry/process/observer/observer.go
@@ -37,9 +37,9 @@
 }
 
 // New returns an Observer for a gauger that is used by nothing else. It passes
-// evidence that an upstream has restarted cold to turned.
-func New(g *gauger.Gauger, now func() time.Time, turned func(upstream string, boot uint64, cause string)) *Observer {
-	return &Observer{gauger: g, now: now, waiting: make(map[string]pendingRequest), lastRun: now(), onCold: turned}
+// evidence that an upstream has restarted cold to onCold.
+func New(g *gauger.Gauger, now func() time.Time, onCold func(upstream string, boot uint64, cause string)) *Observer {
+	return &Observer{gauger: g, now: now, waiting: make(map[string]pendingRequest), lastRun: now(), onCold: onCold}
 }
 
 // Speed returns an upstream's speed as measured by the gauger.
