--- a/entry/version/reloader/reloader.go
+++ b/entry/version/reloader/reloader.go
@@ -1,7 +1,8 @@
-// Package reloader holds the certificates of one side of a VM, callers' or
-// peers', and reads them again when their files change, so that a renewed
-// certificate needs no restart. Connections that stand keep the certificate
-// that they began with. It gets no certificates by itself.
+// Package reloader loads the TLS certificates for one set of a VM's connections,
+// with callers or with peer VMs, and reloads them when their files change, so that a
+// renewed certificate takes effect without a restart. Established connections keep
+// the certificate they were opened with. The package doesn't request or renew
+// certificates.
 package reloader
 
 import (
@@ -19,28 +20,28 @@
 	"github.com/heathervane/heathervane/library/ticker"
 )
 
-// Error is the class of certificates that can't be used.
+// Error is the class of errors for certificates that can't be loaded or verified.
 var Error = errs.Class("certificates")
 
-// PollInterval is how often the files are looked at. A certificate is renewed days
-// before it ends, so that this is soon enough.
+// PollInterval is how often the files are checked for changes. Certificates are
+// renewed days before they expire, so a short delay is harmless.
 const PollInterval = 10 * time.Second
 
-// Files are the PEM files of one side.
+// Files holds the paths of the PEM files.
 type Files struct {
 	Certificate, Key string
-	// Authority, where it is not empty, has each end of a connection show a
-	// certificate that the authority has signed.
+	// Authority is the file of the certificate authority (CA). If it is set, both
+	// ends of a connection must present a certificate signed by this CA.
 	Authority string
 }
 
-// pair is what the files held when they could last be used.
-type pair struct {
+// credentials holds the parsed contents of the last valid files.
+type credentials struct {
 	certificate tls.Certificate
-	authority   *x509.CertPool // nil where the files name none
+	authority   *x509.CertPool // nil if Files.Authority is empty
 }
 
-// A Reloader keeps the certificates of one side. Its configurations are safe
+// A Reloader keeps the current certificates. The configurations it returns are safe
 // for concurrent use.
 type Reloader struct {
 	files  Files
@@ -48,19 +49,19 @@
 	logger zerolog.Logger
 	stop   func()
 
-	current atomic.Pointer[pair]
-	// seen is what the files held when they were last read, good or not, and
-	// failing says that the last look found nothing to use.
-	seen    []byte
-	failing bool
+	current atomic.Pointer[credentials]
+	// lastContents holds the files as last read, valid or not. lastFailed reports
+	// whether the last reload failed.
+	lastContents []byte
+	lastFailed   bool
 
 	reloads, broken metrics.Counter
 	expires         metrics.Gauge
 }
 
-// New reads the files, and looks at them again on the ticker. The name of the
-// side, such as callers, begins the names of its metrics: NAME.certificate.
-// followed by reloads, broken, and expires in Unix seconds.
+// New loads the files and checks them for changes on every PollInterval of the
+// ticker. The metrics are NAME.certificate.reloads, NAME.certificate.broken and
+// NAME.certificate.expires (in Unix seconds), with the given name, such as callers.
 func New(name string, files Files, t *ticker.Ticker, registry metrics.Registry, logger zerolog.Logger) (*Reloader, error) {
 	r := &Reloader{
 		files: files, now: t.Now,
@@ -69,34 +70,34 @@
 		broken:  metrics.GetOrRegisterCounter(name+".certificate.broken", registry),
 		expires: metrics.GetOrRegisterGauge(name+".certificate.expires", registry),
 	}
-	data, err := r.read()
+	data, err := r.readFiles()
 	if err != nil {
 		return nil, err
 	}
-	if err := r.use(data); err != nil {
+	if err := r.apply(data); err != nil {
 		return nil, err
 	}
-	r.stop = t.Subscribe(PollInterval, func(time.Time) { r.look() })
+	r.stop = t.Subscribe(PollInterval, func(time.Time) { r.reload() })
 	return r, nil
 }
 
-// Close ends the looking; the last certificates stay in use.
+// Close stops checking for changes; the current certificates stay in use.
 func (r *Reloader) Close() { r.stop() }
 
-// contents are the bytes of the three files.
-type contents struct {
+// fileContents holds the bytes of the three files.
+type fileContents struct {
 	certificate, key, authority []byte
 }
 
-func (c contents) joined() []byte {
+func (c fileContents) joined() []byte {
 	return bytes.Join([][]byte{c.certificate, c.key, c.authority}, []byte{0})
 }
 
-func (r *Reloader) read() (contents, error) {
-	var c contents
+func (r *Reloader) readFiles() (fileContents, error) {
+	var c fileContents
 	for _, f := range []struct {
 		path string
-		into *[]byte
+		dest *[]byte
 	}{
 		{r.files.Certificate, &c.certificate},
 		{r.files.Key, &c.key},
@@ -107,57 +108,57 @@
 		}
 		data, err := os.ReadFile(f.path)
 		if err != nil {
-			return contents{}, Error.Wrap(err)
+			return fileContents{}, Error.Wrap(err)
 		}
-		*f.into = data
+		*f.dest = data
 	}
 	return c, nil
 }
 
-// look reads the files and uses them where they have changed. A certificate and
-// its key are two files, which can't be replaced at one moment, and a pipeline
-// may write a broken one. Put in use, it would fail every new connection; the
-// one before stays, the counter and a line tell, and the next look tries again
-// once the files have changed.
-func (r *Reloader) look() {
-	c, err := r.read()
-	if err == nil && bytes.Equal(c.joined(), r.seen) {
+// reload reads the files and applies them if they have changed. A certificate and
+// its key are separate files that can't be replaced atomically, and a deployment
+// pipeline may write an invalid one. Such a certificate would fail every new
+// connection, so the previous one stays in use; the failure is counted and logged,
+// and the files are applied once they change again.
+func (r *Reloader) reload() {
+	c, err := r.readFiles()
+	if err == nil && bytes.Equal(c.joined(), r.lastContents) {
 		return
 	}
 	if err == nil {
-		err = r.use(c)
+		err = r.apply(c)
 	}
 	if err != nil {
-		r.fail(err)
+		r.recordFailure(err)
 		return
 	}
-	r.failing = false
+	r.lastFailed = false
 	r.reloads.Inc(1)
 	r.logger.Info().Time("expires", r.current.Load().certificate.Leaf.NotAfter).Msg("certificates reloaded")
 }
 
-func (r *Reloader) fail(err error) {
+func (r *Reloader) recordFailure(err error) {
 	r.broken.Inc(1)
-	if !r.failing {
-		r.logger.Warn().Err(err).Msg("new certificates can't be used; the old ones stay")
+	if !r.lastFailed {
+		r.logger.Warn().Err(err).Msg("cannot load the new certificates; keeping the previous ones")
 	}
-	r.failing = true
+	r.lastFailed = true
 }
 
-func (r *Reloader) use(c contents) error {
-	r.seen = c.joined()
+func (r *Reloader) apply(c fileContents) error {
+	r.lastContents = c.joined()
 	certificate, err := tls.X509KeyPair(c.certificate, c.key)
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	if r.now().After(certificate.Leaf.NotAfter) {
-		return Error.New("%s has expired on %s", r.files.Certificate, certificate.Leaf.NotAfter.Format(time.DateOnly))
+		return Error.New("%s expired on %s", r.files.Certificate, certificate.Leaf.NotAfter.Format(time.DateOnly))
 	}
-	p := pair{certificate: certificate}
+	p := credentials{certificate: certificate}
 	if r.files.Authority != "" {
 		p.authority = x509.NewCertPool()
 		if !p.authority.AppendCertsFromPEM(c.authority) {
-			return Error.New("%s holds no certificate", r.files.Authority)
+			return Error.New("%s contains no valid PEM certificate", r.files.Authority)
 		}
 	}
 	r.current.Store(&p)
@@ -165,19 +166,20 @@
 	return nil
 }
 
-// ServerConfig is the configuration to listen with. With an authority, callers
-// without a certificate that it has signed are turned away.
+// ServerConfig returns the configuration for a listener. If Files.Authority is set,
+// clients must present a certificate signed by that CA.
 func (r *Reloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
-		NextProtos: r.protocols(), // net/http looks for them here
+		NextProtos: r.protocols(), // net/http reads NextProtos from the outer configuration
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return r.current.Load().server(r.protocols()), nil
+			return r.current.Load().serverConfig(r.protocols()), nil
 		},
 	}
 }
 
-// protocols are those offered; between VMs, WebSocket needs HTTP/1.1.
+// protocols returns the ALPN protocols to offer. Connections between VMs use
+// WebSocket, which needs HTTP/1.1.
 func (r *Reloader) protocols() []string {
 	if r.files.Authority != "" {
 		return []string{"http/1.1"}
@@ -185,7 +187,7 @@
 	return []string{"h2", "http/1.1"}
 }
 
-func (p *pair) server(protocols []string) *tls.Config {
+func (p *credentials) serverConfig(protocols []string) *tls.Config {
 	c := &tls.Config{
 		MinVersion:   tls.VersionTLS12,
 		NextProtos:   protocols,
@@ -194,18 +196,18 @@
 	if p.authority != nil {
 		c.ClientAuth = tls.RequireAndVerifyClientCert
 		c.ClientCAs = p.authority
-		// A resumed session would pass by an authority that has been
-		// replaced since.
+		// A resumed session would bypass verification against a CA that has
+		// been replaced since.
 		c.SessionTicketsDisabled = true
 	}
 	return c
 }
 
-// ClientConfig is the configuration to dial other VMs with. With an authority, the
-// other end must show a certificate that it has signed; its name is not
-// compared, since VMs are replaced under new addresses at any time and all of
-// one fleet are equal. Without one, the system's authorities and the name in
-// the certificate decide.
+// ClientConfig returns the configuration for connecting to other VMs. If
+// Files.Authority is set, the server must present a certificate signed by that CA.
+// The server name is not verified, because VMs are replaced under new addresses at
+// any time and all VMs of a fleet are equivalent. Without Files.Authority, the
+// system's CAs and the server name are verified as usual.
 func (r *Reloader) ClientConfig() *tls.Config {
 	c := &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -214,24 +216,24 @@
 		},
 	}
 	if r.files.Authority != "" {
-		// The library's own check can't take another authority later on;
-		// verify does all of it but the name.
+		// crypto/tls can't replace RootCAs after the configuration is in use.
+		// verifyServer performs the same verification except for the name.
 		c.InsecureSkipVerify = true
-		c.VerifyConnection = r.verify
+		c.VerifyConnection = r.verifyServer
 	}
 	return c
 }
 
-func (r *Reloader) verify(s tls.ConnectionState) error {
+func (r *Reloader) verifyServer(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
-		return Error.New("the other end shows no certificate")
+		return Error.New("the server presented no certificate")
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range s.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{
-		Roots: r.current.Load().authority, Intermediates: between,
+		Roots: r.current.Load().authority, Intermediates: intermediates,
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 	})
 	return Error.Wrap(err)
