--- a/entry/version/viewer/bench_test.go
+++ b/entry/version/viewer/bench_test.go
@@ -12,7 +12,8 @@
 	"github.com/heathervane/heathervane/library/checker"
 )
 
-// sizes are those of today, of the measured fleets and of the aim.
+// sizes are the current number of upstreams and teams, that of the measured fleets,
+// and the target.
 var sizes = []struct{ upstreams, teams int }{{24, 10}, {750, 200}, {12_000, 2700}}
 
 func manifest(upstreams, teams int) checker.Manifest {
@@ -34,10 +35,10 @@
 	return m
 }
 
-func in(string, string) bool { return false }
+func noneOutOfService(string, string) bool { return false }
 
-// BenchmarkNew gives what one change costs each VM after it has been folded,
-// and the memory of a View beside its manifest.
+// BenchmarkNew measures the cost per VM of indexing a changed configuration, and the
+// memory of a View without its manifest.
 func BenchmarkNew(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("upstreams=%d/teams=%d", s.upstreams, s.teams), func(b *testing.B) {
@@ -45,11 +46,11 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			v := viewer.New(1, m, in)
+			v := viewer.New(1, m, noneOutOfService)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for b.Loop() {
-				viewer.New(1, m, in)
+				viewer.New(1, m, noneOutOfService)
 			}
 			b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc))/1e3, "heap-kB")
 			runtime.KeepAlive(v)
@@ -57,11 +58,11 @@
 	}
 }
 
-// BenchmarkTeam gives what a look-up of a bearer token costs.
+// BenchmarkTeam measures the look-up of a bearer token.
 func BenchmarkTeam(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("teams=%d", s.teams), func(b *testing.B) {
-			v := viewer.New(1, manifest(1, s.teams), in)
+			v := viewer.New(1, manifest(1, s.teams), noneOutOfService)
 			bearer := fmt.Sprint("token-", s.teams/2)
 			_, ok := v.Team(bearer)
 			assert.Assert(b, ok)
--- a/entry/version/viewer/viewer.go
+++ b/entry/version/viewer/viewer.go
@@ -1,6 +1,6 @@
-// Package viewer holds one version of the configuration in the form that
-// requests ask it in. A View never changes: a request keeps the one it began
-// with, so that a publish in the middle of it changes nothing for it.
+// Package viewer indexes one version of the configuration for the look-ups that
+// requests need. A View is immutable: a request keeps the View it started with, so a
+// configuration change doesn't affect requests in progress.
 package viewer
 
 import (
@@ -16,38 +16,39 @@
 	"github.com/heathervane/heathervane/library/checker"
 )
 
-// Kinds of what operators take out of service.
+// The kinds of targets that operators can take out of service.
 const (
 	KindVM       = "vm"
 	KindZone     = "zone"
 	KindUpstream = "upstream"
 )
 
-// An Upstream is an upstream with its name.
+// An Upstream is a configured upstream with its name.
 type Upstream struct {
 	Name string
 	checker.Upstream
-	// OutOfService says that operators have taken it, or its zone, out of service.
+	// OutOfService reports whether operators have taken the upstream or its zone
+	// out of service.
 	OutOfService bool
 }
 
-// A Pool is the upstreams that serve one model or one service.
+// A Pool holds the upstreams of one model or one service.
 type Pool struct {
-	// Name is the model's or service's.
+	// Name is the name of the model or service.
 	Name string
-	// Service says that it is a plain service's.
+	// Service reports whether the pool belongs to a plain service, not to a model.
 	Service bool
-	// Upstreams are all of them, by name in order; those out of service too.
+	// Upstreams is sorted by name and includes upstreams out of service.
 	Upstreams []Upstream
 }
 
-// A Team is a team with its name.
+// A Team is the name of a team and its share of the capacity.
 type Team struct {
 	Name  string
 	Share int
 }
 
-// A Class is a class of work with its name.
+// A Class is a workload class with its name.
 type Class struct {
 	Name string
 	checker.Class
@@ -58,25 +59,25 @@
 	team Team
 }
 
-// A View is one version of the configuration.
+// A View is one version of the configuration, indexed for requests.
 type View struct {
-	// Version is the offset of the publish that it came from.
+	// Version is the log offset of the record that published the configuration.
 	Version  uint64
 	Manifest checker.Manifest
 
-	out      func(kind, name string) bool
-	models   map[string]*Pool
-	services map[string]*Pool
-	classes  []Class
-	// tokens is keyed by the first bytes of the hash, so that a look-up costs
-	// the same for ten teams and for thousands.
+	outOfService func(kind, name string) bool
+	models       map[string]*Pool
+	services     map[string]*Pool
+	classes      []Class
+	// tokens maps the first four bytes of a token's hash to the tokens that start with
+	// them, so that the cost of a look-up doesn't grow with the number of teams.
 	tokens map[[4]byte][]token
 }
 
-// New makes a View of a manifest that was found good; out tells what operators
-// have taken out of service.
+// New returns a View of a validated manifest; out reports what operators have taken
+// out of service.
 func New(version uint64, m checker.Manifest, out func(kind, name string) bool) *View {
-	v := &View{Version: version, Manifest: m, out: out}
+	v := &View{Version: version, Manifest: m, outOfService: out}
 	v.models = make(map[string]*Pool, len(m.Models))
 	for name := range m.Models {
 		v.models[name] = &Pool{Name: name}
@@ -93,7 +94,7 @@
 
 func (v *View) addUpstreams() {
 	for name, u := range v.Manifest.Upstreams {
-		out := v.out(KindUpstream, name) || v.out(KindZone, u.Zone)
+		out := v.outOfService(KindUpstream, name) || v.outOfService(KindZone, u.Zone)
 		p := v.models[u.Model]
 		if u.Service != "" {
 			p = v.services[u.Service]
@@ -122,14 +123,14 @@
 			if err != nil || len(raw) != sha256.Size {
 				continue
 			}
-			k := token{hash: [sha256.Size]byte(raw), team: Team{Name: name, Share: t.Share}}
+			entry := token{hash: [sha256.Size]byte(raw), team: Team{Name: name, Share: t.Share}}
 			key := [4]byte(raw)
-			v.tokens[key] = append(v.tokens[key], k)
+			v.tokens[key] = append(v.tokens[key], entry)
 		}
 	}
 }
 
-// Team returns the team that a bearer token names.
+// Team returns the team that a bearer token belongs to.
 func (v *View) Team(bearer string) (Team, bool) {
 	hash := sha256.Sum256([]byte(bearer))
 	var found Team
@@ -142,7 +143,8 @@
 	return found, ok
 }
 
-// Class returns the class of a prompt's length in tokens.
+// Class returns the smallest class that accepts a prompt of the given number of
+// tokens.
 func (v *View) Class(tokens int) (Class, bool) {
 	for _, c := range v.classes {
 		if tokens <= c.Prompt {
@@ -152,8 +154,8 @@
 	return Class{}, false
 }
 
-// Priority is the engines' priority of a class: the shorter its prompts, the
-// higher. It counts from 1.
+// Priority returns the scheduling priority of a class at the engines, from 1 up.
+// Classes of shorter prompts have a higher priority.
 func (v *View) Priority(c Class) int {
 	i := slices.IndexFunc(v.classes, func(o Class) bool { return o.Name == c.Name })
 	return len(v.classes) - i
@@ -171,7 +173,7 @@
 	return p, ok
 }
 
-// Pools are all pools, models' and services'.
+// Pools returns the pools of all models and services, in no particular order.
 func (v *View) Pools() []*Pool {
 	ps := make([]*Pool, 0, len(v.models)+len(v.services))
 	for _, p := range v.models {
@@ -183,7 +185,7 @@
 	return ps
 }
 
-// Upstreams are all upstreams, by name in order.
+// Upstreams returns all upstreams, sorted by name.
 func (v *View) Upstreams() []Upstream {
 	var us []Upstream
 	for _, p := range v.Pools() {
@@ -193,41 +195,43 @@
 	return us
 }
 
-// OutOfService tells whether operators have taken a VM, zone or upstream out.
+// OutOfService reports whether operators have taken a VM, zone or upstream out of
+// service.
 func (v *View) OutOfService(kind, name string) bool {
-	return v.out(kind, name)
+	return v.outOfService(kind, name)
 }
 
-// Repeatable tells whether a call of a service may be sent more than once.
-func (v *View) Repeatable(service, method, call string) bool {
+// Repeatable reports whether a request to a service may be sent more than once. The
+// default is GET, HEAD and OPTIONS.
+func (v *View) Repeatable(service, method, requestPath string) bool {
 	rules := v.Manifest.Services[service].Repeatable
 	if len(rules) == 0 {
 		rules = []string{http.MethodGet, http.MethodHead, http.MethodOptions}
 	}
-	call = path.Clean("/" + call)
+	requestPath = path.Clean("/" + requestPath)
 	for _, rule := range rules {
-		verb, prefix, _ := strings.Cut(rule, " ")
-		if verb == method && under(call, strings.TrimSpace(prefix)) {
+		ruleMethod, prefix, _ := strings.Cut(rule, " ")
+		if ruleMethod == method && hasPathPrefix(requestPath, strings.TrimSpace(prefix)) {
 			return true
 		}
 	}
 	return false
 }
 
-// under tells whether a path is a prefix or stands below it: /search covers
+// hasPathPrefix reports whether a path equals prefix or is below it: /search matches
 // /search/all but not /searches.
-func under(call, prefix string) bool {
-	if prefix == "" || prefix == "/" || call == prefix {
+func hasPathPrefix(requestPath, prefix string) bool {
+	if prefix == "" || prefix == "/" || requestPath == prefix {
 		return true
 	}
-	return strings.HasPrefix(call, strings.TrimSuffix(prefix, "/")+"/")
+	return strings.HasPrefix(requestPath, strings.TrimSuffix(prefix, "/")+"/")
 }
 
-// ParseTimeLimit reads a caller's Request-Timeout within the bounds of its work; an
-// empty text asks for the default.
-func ParseTimeLimit(text string, limit, least, most checker.Duration) (time.Duration, error) {
+// ParseTimeLimit parses a Request-Timeout header and checks that it is between lower
+// and upper. An empty header yields defaultLimit.
+func ParseTimeLimit(text string, defaultLimit, lower, upper checker.Duration) (time.Duration, error) {
 	if text == "" {
-		return time.Duration(limit), nil
+		return time.Duration(defaultLimit), nil
 	}
-	return parseLimit(text, time.Duration(least), time.Duration(most))
+	return parseTimeLimit(text, time.Duration(lower), time.Duration(upper))
 }
