--- a/entry/version/matcher/matcher.go
+++ b/entry/version/matcher/matcher.go
@@ -1,7 +1,6 @@
-// Package matcher holds one version of what operators configure for plain
-// forwarding (routes, services, teams and limits) and finds the route and the
-// team of a request in it. It does not know where the configuration came from,
-// and forwards nothing.
+// Package matcher holds one version of the configuration for plain forwarding
+// (routes, services, teams and limits) and looks up the route of a request and the
+// team of a key. It doesn't load the configuration and forwards nothing.
 package matcher
 
 import (
@@ -11,17 +10,17 @@
 	"time"
 )
 
-// A Kind says what may be done with the requests of a route.
+// A Kind is the retry and response semantics of a route's requests.
 type Kind int
 
 // The kinds of routes.
 const (
-	// Unsafe requests run at most once.
+	// Unsafe requests must run at most once.
 	Unsafe Kind = iota
 	// Safe requests may run any number of times.
 	Safe
-	// Stream requests are answered by a stream of events. They run at most
-	// once, unless the route says that a stream can be resumed.
+	// Stream requests are answered by a stream of events. They must run at most
+	// once, unless the route is Resumable.
 	Stream
 )
 
@@ -34,76 +33,78 @@
 	Limits   Limits
 }
 
-// A Route leads requests of one host and path prefix to services.
+// A Route maps the requests of one host and path prefix to services.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Resumable streams go on at another upstream after the last event seen.
+	// Resumable reports whether a stream can continue at another upstream after
+	// the last event received.
 	Resumable bool
-	// Anonymous routes ask for no key.
+	// Anonymous reports whether requests need no API key.
 	Anonymous bool
-	// Timeout is the longest that a request may be without its final answer.
+	// Timeout is the maximum time a request may take without a final response.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to a stream's first event, that
-	// callers find good, and GapTarget the same for the pause between events.
+	// Objective is the target time to the response, or to the first event of a
+	// stream. GapTarget is the target for the pause between events.
 	Objective, GapTarget time.Duration
-	// CallerTimeout is how long callers wait for a stream's next event before they
-	// leave; 0 where that is not known.
+	// CallerTimeout is how long callers wait for the next event of a stream before
+	// they disconnect; 0 if unknown.
 	CallerTimeout time.Duration
-	// Priority is the rank of the requests, 0 being the first.
+	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// MaxAttempts is the most upstreams that one request may be sent to.
+	// MaxAttempts is the maximum number of upstreams that one request is sent to.
 	MaxAttempts int
 	Split       []WeightedService
 }
 
-// A WeightedService is a service's part of a route's requests.
+// A WeightedService is a service and its weight in the traffic split of a route.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// A Service is a group of upstreams that serve the same requests.
+// A Service is a group of interchangeable upstreams.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is the most that one upstream accepts from all VMs together.
+	// MaxConnections is the maximum number of connections that one upstream accepts
+	// from all VMs together.
 	MaxConnections int
-	// ColdStartRate is the requests a second that an upstream in cold start bears
-	// from all VMs together; 0 where it bears any.
+	// ColdStartRate is the maximum number of requests per second that an upstream
+	// handles during its cold start, from all VMs together; 0 means no limit.
 	ColdStartRate float64
-	// Engine holds the figures of model engines; nil for plain services.
+	// Engine is the performance model of model engines; nil for plain services.
 	Engine *Engine
 }
 
-// An Engine holds the figures of one kind of model engine. Times are in
-// milliseconds, as engines are far faster than a second in all they do.
+// An Engine holds the performance figures of one kind of model engine. Times are in
+// milliseconds, because an engine's operations take far less than a second.
 type Engine struct {
-	// Slots is how many requests generate at once, KVCapacity the KV cache in
-	// tokens.
+	// Slots is the maximum number of requests that generate at once. KVCapacity is
+	// the size of the KV cache in tokens.
 	Slots, KVCapacity int
-	// StepsPerPass is how many token steps one pass makes, PrefillChunk the most prompt
-	// tokens read in each step.
+	// StepsPerPass is the number of token steps in one pass. PrefillChunk is the
+	// maximum number of prompt tokens read in each step.
 	StepsPerPass, PrefillChunk int
-	// StepTime, StepTimePerStream and StepTimePerContext are the time of one token step: StepTime,
-	// and for each stream StepTimePerStream and StepTimePerContext per 1,000 tokens.
+	// The time of one token step is StepTime, plus StepTimePerStream for each
+	// stream, plus StepTimePerContext for each 1,000 context tokens.
 	StepTime, StepTimePerStream, StepTimePerContext float64
-	// PrefillRate is the prompt tokens read in a millisecond, and AttentionTime the time
-	// for a million pairs of a token and an earlier one.
+	// PrefillRate is the number of prompt tokens read per millisecond. AttentionTime
+	// is the time for a million pairs of a token and an earlier token.
 	PrefillRate, AttentionTime float64
-	// HopTime is what each step of a prompt held by several engines takes longer.
+	// HopTime is the extra time per step if several engines hold a prompt.
 	HopTime float64
 }
 
-// A Team is a customer with its keys.
+// A Team is a customer and its API keys.
 type Team struct {
 	Name     string
 	APIKeys  []string
 	Priority int
-	// HasPriority says that Priority goes before the route's.
+	// HasPriority reports whether Priority overrides the route's priority.
 	HasPriority bool
 }
 
@@ -113,7 +114,7 @@
 	HeaderTimeout, IdleTimeout   time.Duration
 }
 
-// A Table is a Config indexed for requests. It does not change.
+// A Table is a Config indexed for look-ups. It is immutable.
 type Table struct {
 	Config
 	hosts    map[string][]*Route
@@ -133,7 +134,7 @@
 		t.hosts[host] = append(t.hosts[host], r)
 	}
 	for _, routes := range t.hosts {
-		// The longest prefix comes first, so that the first match is the one.
+		// Longest prefix first, so that the first match is the most specific.
 		slices.SortStableFunc(routes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for i := range c.Services {
@@ -147,9 +148,8 @@
 	return t
 }
 
-// Route finds the route of a request. The path is as it was sent, escapes
-// included: unescaping would let a request reach a route that its bytes do not
-// name.
+// Route returns the route of a request. The path must be as sent, with its escapes:
+// unescaping it would let a request match a route that its raw path doesn't name.
 func (t *Table) Route(host, path string) (*Route, bool) {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
@@ -163,27 +163,29 @@
 	return nil, false
 }
 
-// Service finds a service by name.
+// Service returns the service with the given name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Team finds the team of a key.
+// Team returns the team that an API key belongs to.
 func (t *Table) Team(key string) (*Team, bool) {
 	m, ok := t.keys[key]
 	return m, ok
 }
 
-// RequiresKey says that requests need a key, but on anonymous routes.
+// RequiresKey reports whether requests need an API key, except on anonymous routes.
+// They do if any team is configured.
 func (t *Table) RequiresKey() bool { return len(t.Teams) > 0 }
 
-// Repeatable says that requests of the route may run more than once.
+// Repeatable reports whether requests of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || (r.Kind == Stream && r.Resumable)
 }
 
-// PickService draws one of the route's services by weight.
+// PickService picks one of the route's services at random in proportion to their
+// weights. It reports false if the weights sum to zero.
 func (r *Route) PickService() (string, bool) {
 	sum := 0.0
 	for _, w := range r.Split {
@@ -192,7 +194,7 @@
 	if sum <= 0 {
 		return "", false
 	}
-	at := rand.Float64() * sum //nolint:gosec // a share of traffic, not a secret
+	at := rand.Float64() * sum //nolint:gosec // splits traffic, not security-sensitive
 	for _, w := range r.Split {
 		if at < w.Weight {
 			return w.Service, true
--- a/entry/version/matcher/matcher_test.go
+++ b/entry/version/matcher/matcher_test.go
@@ -22,9 +22,9 @@
 	})
 }
 
-// A request that reached a route by what its bytes mean after unescaping, and
-// not by what they are, would run at a service that its path does not name.
-func TestRouteIsThatOfTheLongestPrefix(t *testing.T) {
+// A path that were unescaped before matching could reach a service that the raw path
+// doesn't name.
+func TestRouteMatchesLongestPrefix(t *testing.T) {
 	tests := []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "deep"},
 		{"a.example:8080", "/x/y/", "deep"},
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestKeysBelongToTeams(t *testing.T) {
+func TestTeamOfKey(t *testing.T) {
 	m, ok := table().Team("k2")
 	assert.Assert(t, ok)
 	assert.Equal(t, m.Name, "t")
@@ -58,7 +58,7 @@
 	assert.Assert(t, table().RequiresKey())
 }
 
-func TestRepeatableFollowsFromTheKind(t *testing.T) {
+func TestRepeatableByKind(t *testing.T) {
 	tests := []struct {
 		route matcher.Route
 		want  bool
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestPickFollowsWeights(t *testing.T) {
+func TestPickServiceFollowsWeights(t *testing.T) {
 	r := matcher.Route{Split: []matcher.WeightedService{{Service: "one", Weight: 90}, {Service: "two", Weight: 10}, {Service: "none"}}}
 	counts := map[string]int{}
 	const draws = 20_000
