--- a/entry/version/follower/counts.go
+++ b/entry/version/follower/counts.go
@@ -6,7 +6,7 @@
 	"github.com/heathervane/heathervane/library/folder"
 )
 
-// counts are the Follower's metrics.
+// counts holds the Follower's metrics.
 type counts struct {
 	version, read              metrics.Gauge
 	accepted, refused, ignored metrics.Counter
--- a/entry/version/follower/duty.go
+++ b/entry/version/follower/duty.go
@@ -12,86 +12,86 @@
 )
 
 const (
-	// parts of the retention: a checkpoint is due a quarter of it after the
-	// last one, so that three may fail before records are lost, and one VM
-	// writes at most one in a sixteenth.
-	dueParts   = 4
-	spareParts = 16
-	// retry is how long after a refused write the next one is due.
-	retry = 2 * time.Second
-	// fresh is how many records a checkpoint may lie behind its own offset.
-	// One of a VM that was frozen serves only until the record after its Read
-	// is dropped, which may be soon.
-	fresh = 64
-	// keep is the retention where no manifest says it.
-	keep = time.Hour
+	// A checkpoint is due 1/dueDivisor of the retention after the last one, so that
+	// three may fail before records are lost. One VM writes at most one per
+	// 1/spacingDivisor of the retention.
+	dueDivisor     = 4
+	spacingDivisor = 16
+	// writeRetryDelay is the delay before the next write after a refused one.
+	writeRetryDelay = 2 * time.Second
+	// maxCheckpointLag is the maximum number of records between what a checkpoint
+	// covers and its own offset. A VM that was frozen writes a checkpoint that lags
+	// further, which is useless once the log drops the record after its Read.
+	maxCheckpointLag = 64
+	// defaultRetention is the retention if no manifest sets one.
+	defaultRetention = time.Hour
 )
 
-// duty is what is known about the last checkpoint.
-type duty struct {
-	stored time.Time // when it was written, zero where that is not known
-	offset uint64    // where it stands
-	next   time.Time // before which this VM writes none
+// checkpointSchedule holds what is known about the last checkpoint.
+type checkpointSchedule struct {
+	writtenAt time.Time // when it was written, zero if unknown
+	offset    uint64    // its offset in the log
+	notBefore time.Time // earliest time of this VM's next write
 }
 
-// saw notes a checkpoint of the log's time at. Clocks may differ: one that
-// seems older than it is brings the next one early, and the bound per VM keeps
-// that from becoming a flood; one that seems newer may delay it by the
-// difference, of which half the retention is borne.
-func (d *duty) saw(now time.Time, r folder.Record) {
+// observe notes a checkpoint, which carries the log's time. Clocks may differ. If a
+// checkpoint seems older than it is, the next one is due early, and the limit per VM
+// prevents a flood. If it seems newer, the next one may be delayed by the
+// difference; half the retention is tolerated.
+func (d *checkpointSchedule) observe(now time.Time, r folder.Record) {
 	d.offset = max(d.offset, r.Offset)
 	at := r.At
 	if at.After(now) {
 		at = now
 	}
-	if at.After(d.stored) {
-		d.stored = at
+	if at.After(d.writtenAt) {
+		d.writtenAt = at
 	}
 }
 
-// checkpoint notes a checkpoint on the log that a starting VM could use, and
-// counts one that disagrees with this VM's own state.
-func (f *Follower) checkpoint(start uint64, s folder.Step) {
+// observeCheckpoint notes a checkpoint in the log if a starting VM could use it. It
+// counts and logs one that contradicts this VM's own state.
+func (f *Follower) observeCheckpoint(start uint64, s folder.Step) {
 	r, before := s.Record, s.Before
 	c, err := recorder.Unwrap[recorder.Checkpoint](r.Data)
-	if err != nil || c.Read+fresh < r.Offset {
+	if err != nil || c.Read+maxCheckpointLag < r.Offset {
 		return
 	}
-	if c.Read == before.Read && !same(c, *before) {
+	if c.Read == before.Read && !matchesState(c, *before) {
 		f.counts.disagreed.Inc(1)
-		f.logger.Error().Uint64("offset", r.Offset).Msg("a checkpoint disagrees with the state in force")
+		f.logger.Error().Uint64("offset", r.Offset).Msg("checkpoint differs from the local state at the same offset")
 		return
 	}
 	if _, ok := folder.Found(nil, start, start, r); ok {
-		f.duty.saw(f.ticker.Now(), r)
+		f.schedule.observe(f.ticker.Now(), r)
 	}
 }
 
-func same(c recorder.Checkpoint, s folder.State) bool {
+func matchesState(c recorder.Checkpoint, s folder.State) bool {
 	a, errA := recorder.Encode(c)
 	b, errB := recorder.Encode(folder.Store(s))
 	return errA == nil && errB == nil && bytes.Equal(a, b)
 }
 
-// CheckpointDue says whether a checkpoint should be written: the last one is a quarter of
-// the retention old, or as many records back as a starting VM first looks, or
-// not known. It goes wrong when none is written for a whole retention: VMs that
-// start then find no configuration and are not ready.
+// CheckpointDue reports whether a checkpoint should be written: the last one is
+// unknown, a quarter of the retention old, or folder.Window records back, which is
+// where a starting VM first looks. If none is written for the whole retention, VMs
+// that start later find no configuration and don't become ready.
 func (f *Follower) CheckpointDue(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state.Load()
-	if s == nil || s.Read == 0 || f.back || !f.ended {
+	if s == nil || s.Read == 0 || f.logTruncated || !f.atEnd {
 		return false
 	}
-	old := now.Sub(f.duty.stored) >= retention(*s)/dueParts
-	far := s.Read >= f.duty.offset+folder.Window
-	return (old || far) && !now.Before(f.duty.next)
+	expiring := now.Sub(f.schedule.writtenAt) >= retention(*s)/dueDivisor
+	distant := s.Read >= f.schedule.offset+folder.Window
+	return (expiring || distant) && !now.Before(f.schedule.notBefore)
 }
 
-// WriteCheckpoint appends a checkpoint of the state in force. An error of the class
-// appender.ErrUnknown says that it may have landed; doubled checkpoints do no
-// harm.
+// WriteCheckpoint appends a checkpoint of the current state. After an error of the
+// class appender.ErrUnknown it may have been written; duplicate checkpoints are
+// harmless.
 func (f *Follower) WriteCheckpoint(ctx context.Context) error {
 	data, err := f.Snapshot()
 	if err != nil {
@@ -102,16 +102,16 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.ticker.Now()
-	f.duty.next = now.Add(retention(*f.state.Load()) / spareParts)
+	f.schedule.notBefore = now.Add(retention(*f.state.Load()) / spacingDivisor)
 	if appender.ErrRefused.Has(err) {
-		f.duty.next = now.Add(retry)
+		f.schedule.notBefore = now.Add(writeRetryDelay)
 	}
 	return err
 }
 
 func retention(s folder.State) time.Duration {
 	if s.Manifest.Keep <= checker.Duration(0) {
-		return keep
+		return defaultRetention
 	}
 	return time.Duration(s.Manifest.Keep)
 }
--- a/entry/version/follower/follower.go
+++ b/entry/version/follower/follower.go
@@ -1,14 +1,13 @@
-// Package follower keeps the configuration in force on one VM: it reads the
-// log's stream config to its end and on, folds the records, and tells the rest
-// of the process. Where the log is slow or down it takes the state of a peer
-// that is ahead. It decides nothing about records, which library/folder does,
-// and it does not choose which VM writes the checkpoint.
+// Package follower keeps the current configuration on one VM. It reads the log's
+// config stream continuously, folds the records into a state, and notifies
+// subscribers. If the log is slow or down, it takes the state of a peer that has
+// read further. The package library/folder decides which records take effect, and
+// the caller decides which VM writes checkpoints.
 //
-// Which load it answers: a VM reads each record once, by long polls, so that a
-// change costs the log one answer a VM and an idle stream one every few
-// seconds. Without the peers, an outage of the log would leave VMs that start
-// without a configuration, and one slow answer would hold a change back by
-// seconds on one VM of many.
+// A VM reads each record once, by long polling. A change therefore costs the log one
+// response per VM, and an idle stream one every few seconds. Without peers, VMs that
+// start during an outage of the log would have no configuration, and one slow
+// response would delay a change on that VM by seconds.
 package follower
 
 import (
@@ -32,64 +31,66 @@
 var Error = errs.Class("follower")
 
 const (
-	// wait is how long a read waits for the next record. It bounds nothing
-	// that callers notice: a new record ends the wait at once.
-	wait = 5 * time.Second
-	// limit bounds one read. An answer that freezes holds changes back for
-	// so long where no peer is ahead.
-	limit = wait + 2*time.Second
-	// pause is how long Run waits after a failed read, so that a log that
-	// comes back is not met by all VMs at full speed.
-	pause = 500 * time.Millisecond
-	// most bounds the records of one read. A record has up to 1 MiB.
-	most = 16
-	// lag is how long a VM waits for the log once a peer is ahead. Reads of
-	// several VMs differ by less while the log is well.
-	lag = time.Second
+	// pollWait is how long a read waits for the next record. It doesn't delay
+	// changes, because a new record ends the wait at once.
+	pollWait = 5 * time.Second
+	// readTimeout limits one read. A response that stalls delays changes by this
+	// much if no peer has read further.
+	readTimeout = pollWait + 2*time.Second
+	// retryInterval is how long Run waits after a failed read, so that the VMs don't
+	// all poll a recovering log at full speed.
+	retryInterval = 500 * time.Millisecond
+	// maxRecords limits the records of one read. A record can have up to 1 MiB.
+	maxRecords = 16
+	// peerFetchDelay is how long a VM waits for the log after a peer has read
+	// further. While the log is healthy, VMs differ by less than this.
+	peerFetchDelay = time.Second
 )
 
-// A Log is the part of the platform's log that a Follower needs.
+// A Log reads and appends records of the platform's log.
 type Log interface {
 	Read(ctx context.Context, stream string, from uint64, most int, wait time.Duration) (appender.Batch, error)
 	Append(ctx context.Context, stream string, data []byte) (uint64, error)
 }
 
-// A Follower keeps the configuration in force. It is safe for concurrent use.
+// A Follower keeps the current configuration. It is safe for concurrent use.
 type Follower struct {
 	log    Log
 	ticker *ticker.Ticker
 	logger zerolog.Logger
 	counts counts
 
-	// state is what State returns. It is set once the stream has been read
-	// to its end, because the states on the way there were in force long ago.
+	// state is returned by State. It stays nil until the end of the stream is
+	// reached, because the intermediate states are outdated.
 	state atomic.Pointer[folder.State]
 
 	mu sync.Mutex
-	// reader folds what has been read.
+	// reader folds the records.
 	reader *folder.Reader
-	// caught says that the end of the stream, or a peer's state, was reached.
-	caught bool
+	// caughtUp reports whether the end of the stream or a peer's state was reached.
+	caughtUp bool
 
 	subs   map[int]func(folder.State)
 	nextID int
-	// back says that the log ends before what was read of it.
-	back bool
-	// ended says that the last read reached the end of the stream, and empty
-	// that it brought no record.
-	ended, empty bool
-	// failed is the error of the last read.
-	failed error
-	// stuck is since when a peer has been known to be ahead of what was read.
-	stuck struct {
+	// logTruncated reports whether the log ends before the last record read from
+	// it.
+	logTruncated bool
+	// atEnd reports whether the last read reached the end of the stream, and
+	// lastReadEmpty whether it returned no records.
+	atEnd, lastReadEmpty bool
+	// lastErr is the error of the last read.
+	lastErr error
+	// behind records when a peer was first known to be ahead, and how far this VM
+	// had read at that time.
+	behind struct {
 		read  uint64
 		since time.Time
 	}
-	duty duty
+	schedule checkpointSchedule
 }
 
-// New returns a Follower without a state. Counters go to the registry under
-// names that begin with config.
+// New returns a Follower without a state. Its metrics are registered under names
+// that start with "config.".
 func New(log Log, t *ticker.Ticker, registry metrics.Registry, logger zerolog.Logger) *Follower {
 	return &Follower{
 		log: log, ticker: t, logger: logger,
@@ -99,21 +100,22 @@
 	}
 }
 
-// State is the state in force, nil where there is none. It must not be changed.
+// State returns the current state, or nil if there is none. Callers must not modify
+// it.
 func (f *Follower) State() *folder.State { return f.state.Load() }
 
-// Subscribe has call run with the state in force, at once where there is one,
-// and then after every change of it. Calls come one after another and must not
-// block; of the Follower they may use State alone. The returned function ends
-// the subscription.
-func (f *Follower) Subscribe(call func(folder.State)) (stop func()) {
+// Subscribe calls callback with the current state, immediately if there is one, and
+// after every change. Calls are made one at a time. The callback must not block and
+// must not call any method of the Follower except State. The returned function
+// cancels the subscription.
+func (f *Follower) Subscribe(callback func(folder.State)) (stop func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := f.nextID
 	f.nextID++
-	f.subs[id] = call
+	f.subs[id] = callback
 	if s := f.state.Load(); s != nil {
-		call(*s)
+		callback(*s)
 	}
 	return func() {
 		f.mu.Lock()
@@ -122,10 +124,10 @@
 	}
 }
 
-// Run follows the stream until the context ends.
+// Run follows the stream until the context is done.
 func (f *Follower) Run(ctx context.Context) {
 	ticks := make(chan struct{}, 1)
-	stop := f.ticker.Subscribe(pause, func(time.Time) {
+	stop := f.ticker.Subscribe(retryInterval, func(time.Time) {
 		select {
 		case ticks <- struct{}{}:
 		default:
@@ -133,9 +135,9 @@
 	})
 	defer stop()
 	for ctx.Err() == nil {
-		began := f.ticker.Now()
+		startedAt := f.ticker.Now()
 		err := f.Poll(ctx)
-		if err == nil && !f.hasty(began) {
+		if err == nil && !f.returnedEarly(startedAt) {
 			continue
 		}
 		select {
@@ -145,83 +147,82 @@
 	}
 }
 
-// hasty says that a read brought nothing and did not wait for anything. A log
-// that does not wait as it is asked to would otherwise be read by every VM as
-// fast as it answers.
-func (f *Follower) hasty(began time.Time) bool {
+// returnedEarly reports whether a read returned no records without having waited.
+// If the log doesn't wait as requested, every VM would poll it in a tight loop.
+func (f *Follower) returnedEarly(startedAt time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.empty && f.ticker.Now().Sub(began) < pause
+	return f.lastReadEmpty && f.ticker.Now().Sub(startedAt) < retryInterval
 }
 
-// Poll reads once and folds what came. An error says that the log could not be
-// read, or ends before what has been read of it; the state stays in force.
+// Poll reads once and folds the records. It returns an error if the log can't be
+// read or ends before the last record read; the current state is kept.
 func (f *Follower) Poll(ctx context.Context) error {
-	from := f.from()
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	from := f.nextOffset()
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	b, err := f.log.Read(ctx, recorder.ConfigStream, from, most, wait)
+	b, err := f.log.Read(ctx, recorder.ConfigStream, from, maxRecords, pollWait)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err == nil {
-		err = f.take(from, b)
+		err = f.processBatch(from, b)
 	}
-	f.note(err)
+	f.recordResult(err)
 	return err
 }
 
-// note keeps the outcome of a read, and logs where it changed.
-func (f *Follower) note(err error) {
+// recordResult stores the result of a read and logs changes between success and failure.
+func (f *Follower) recordResult(err error) {
 	if err != nil {
 		f.counts.errors.Inc(1)
 	}
 	switch {
-	case err != nil && f.failed == nil:
-		f.logger.Warn().Err(err).Msg("the configuration can't be followed")
-	case err == nil && f.failed != nil:
-		f.logger.Info().Msg("the configuration is followed again")
+	case err != nil && f.lastErr == nil:
+		f.logger.Warn().Err(err).Msg("cannot read the configuration from the log")
+	case err == nil && f.lastErr != nil:
+		f.logger.Info().Msg("reading the configuration from the log again")
 	}
-	f.failed = err
+	f.lastErr = err
 }
 
-// from is the next offset to read.
-func (f *Follower) from() uint64 {
+// nextOffset returns the next offset to read.
+func (f *Follower) nextOffset() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reader.Next()
 }
 
-// take folds the answer to a read from an offset on.
-func (f *Follower) take(from uint64, b appender.Batch) error {
-	f.empty = len(b.Records) == 0
+// processBatch folds the response to a read that started at from.
+func (f *Follower) processBatch(from uint64, b appender.Batch) error {
+	f.lastReadEmpty = len(b.Records) == 0
 	gap := f.reader.Gap()
-	steps, err := f.reader.Take(from, batch(b))
-	f.back = err != nil
+	steps, err := f.reader.Take(from, folderBatch(b))
+	f.logTruncated = err != nil
 	if err != nil {
-		// The state stays in force, and no record is read until an operator
-		// has seen to it.
+		// The current state is kept, and no record is applied until an
+		// operator has intervened.
 		f.counts.back.Inc(1)
 		return err
 	}
 	if f.reader.Gap() && !gap {
 		f.counts.gaps.Inc(1)
 		f.logger.Warn().Uint64("read", f.reader.State().Read).Uint64("start", b.Start).
-			Msg("the log dropped records that were not read")
+			Msg("the log dropped unread records")
 	}
 	changed := false
 	for _, s := range steps {
-		changed = f.step(b.Start, s) || changed
+		changed = f.processStep(b.Start, s) || changed
 	}
 	s := f.reader.State()
-	f.ended = s != nil && !f.reader.Gap() && s.Read+1 >= b.End
-	if f.ended && !f.caught {
-		f.caught, changed = true, true
+	f.atEnd = s != nil && !f.reader.Gap() && s.Read+1 >= b.End
+	if f.atEnd && !f.caughtUp {
+		f.caughtUp, changed = true, true
 	}
 	f.publish(changed)
 	return nil
 }
 
-func batch(b appender.Batch) folder.Batch {
+func folderBatch(b appender.Batch) folder.Batch {
 	records := make([]folder.Record, 0, len(b.Records))
 	for _, r := range b.Records {
 		records = append(records, folder.Record(r))
@@ -229,34 +230,34 @@
 	return folder.Batch{Start: b.Start, End: b.End, Records: records}
 }
 
-// step counts and logs what a record did, and says whether it changed what is
-// in force.
-func (f *Follower) step(start uint64, s folder.Step) bool {
+// processStep counts and logs the effect of a record, and reports whether it changed
+// the configuration.
+func (f *Follower) processStep(start uint64, s folder.Step) bool {
 	if s.Found {
-		f.duty.saw(f.ticker.Now(), s.Record)
-		f.logger.Info().Uint64("version", s.After.Version).Uint64("read", s.After.Read).Msg("configuration found")
+		f.schedule.observe(f.ticker.Now(), s.Record)
+		f.logger.Info().Uint64("version", s.After.Version).Uint64("read", s.After.Read).Msg("configuration restored from the log")
 		return true
 	}
 	f.counts.record(s.Verdict)
 	if s.Verdict.Kind == recorder.KindCheckpoint {
-		f.checkpoint(start, s)
+		f.observeCheckpoint(start, s)
 	}
 	if s.Verdict.Outcome != folder.Accepted {
 		return false
 	}
-	if f.caught {
+	if f.caughtUp {
 		c := s.After.Audit[len(s.After.Audit)-1]
 		f.logger.Info().Uint64("offset", c.Offset).Str("who", c.Who).Str("what", c.What).Msg("configuration changed")
 	}
 	return true
 }
 
-// publish puts the state folded so far in force, where the end of the stream
-// has been reached. Subscribers hear of it where it differs in more than how
-// far the stream was read.
+// publish makes the state folded so far current, once the follower has caught up.
+// Subscribers are notified only if changed is set: a state that differs only in how
+// far the stream was read is not reported.
 func (f *Follower) publish(changed bool) {
 	s := f.reader.State()
-	if !f.caught || s == nil {
+	if !f.caughtUp || s == nil {
 		return
 	}
 	f.state.Store(s)
@@ -265,21 +266,21 @@
 	if !changed {
 		return
 	}
-	for _, call := range f.subs {
-		call(*s)
+	for _, callback := range f.subs {
+		callback(*s)
 	}
 }
 
-// Ready says whether this VM may take requests, and why not. A VM that is ready
-// gives a reason too where it can't follow changes: the configuration it holds
-// stays in force, because an outage of the log must not stop requests.
+// Ready reports whether this VM has a configuration to serve with, and otherwise why
+// not. It also gives a reason if the VM is ready but can't follow changes: the
+// current configuration is kept, because an outage of the log must not stop requests.
 func (f *Follower) Ready() (ready bool, reason string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state.Load()
 	switch {
-	case s == nil && f.failed != nil:
-		return false, fmt.Sprintf("no configuration: no peer has one, and the log can't be read: %v", f.failed)
+	case s == nil && f.lastErr != nil:
+		return false, fmt.Sprintf("no configuration: no peer has one, and the log can't be read: %v", f.lastErr)
 	case s == nil && f.reader.State() != nil:
 		return false, fmt.Sprintf("the log is being read, so far up to %d", f.reader.State().Read)
 	case s == nil && !f.reader.Lost():
@@ -290,10 +291,10 @@
 		return false, "no manifest has been published"
 	case f.reader.Gap():
 		return true, fmt.Sprintf("version %d stays in force: the log dropped records after %d unread; publish anew", s.Version, s.Read)
-	case f.back:
-		return true, fmt.Sprintf("version %d stays in force: %v", s.Version, f.failed)
-	case f.failed != nil:
-		return true, fmt.Sprintf("version %d stays in force: the log can't be read: %v", s.Version, f.failed)
+	case f.logTruncated:
+		return true, fmt.Sprintf("version %d stays in force: %v", s.Version, f.lastErr)
+	case f.lastErr != nil:
+		return true, fmt.Sprintf("version %d stays in force: the log can't be read: %v", s.Version, f.lastErr)
 	default:
 		return true, ""
 	}
--- a/entry/version/follower/peer.go
+++ b/entry/version/follower/peer.go
@@ -7,15 +7,15 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// MaxSnapshotBytes is the longest snapshot in bytes. It is a record's length, since
-// a snapshot is a checkpoint that goes to a peer.
+// MaxSnapshotBytes is the maximum size of a snapshot. It equals the maximum size of a
+// log record, because a snapshot is a checkpoint sent to a peer.
 const MaxSnapshotBytes = 1 << 20
 
-// ShouldFetch says whether a peer's state should be asked for: the peer has read
-// further, and for a second the log has brought this VM nothing. Heartbeats
-// carry State().Read for it. Asked at once, every change would be fetched from
-// a peer as well as from the log. A VM that starts does ask at once: to read an
-// hour of large manifests takes longer than to take up the last of them.
+// ShouldFetch reports whether to fetch the state of a peer that has read up to read,
+// the State().Read in its heartbeat. It does so if the peer is ahead and the log has
+// returned nothing new for a second; without this delay, every change would be
+// fetched from a peer as well as from the log. A VM that is starting fetches at once,
+// because reading an hour of large manifests takes longer than loading the last one.
 func (f *Follower) ShouldFetch(read uint64, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -23,32 +23,32 @@
 	if s == nil {
 		return read > 0
 	}
-	if read <= s.Read || !f.caught {
+	if read <= s.Read || !f.caughtUp {
 		return read > s.Read
 	}
-	if f.stuck.read != s.Read || f.stuck.since.IsZero() {
-		f.stuck.read, f.stuck.since = s.Read, now
+	if f.behind.read != s.Read || f.behind.since.IsZero() {
+		f.behind.read, f.behind.since = s.Read, now
 	}
-	return now.Sub(f.stuck.since) >= lag
+	return now.Sub(f.behind.since) >= peerFetchDelay
 }
 
-// Snapshot is the state in force for a peer that is behind.
+// Snapshot returns the encoded current state for a peer that is behind.
 func (f *Follower) Snapshot() ([]byte, error) {
 	s := f.state.Load()
 	if s == nil {
-		return nil, Error.New("no state in force")
+		return nil, Error.New("no configuration loaded")
 	}
 	data, err := recorder.Wrap(recorder.KindCheckpoint, folder.Store(*s))
 	return data, Error.Wrap(err)
 }
 
-// ApplySnapshot takes a peer's snapshot where it is ahead of the state in force, and
-// says whether it did. The manifest in it is read again, so that a broken peer
-// can't put in force what the log would not have. A snapshot that is not ahead
-// changes nothing: a late or doubled message must not take a VM back.
+// ApplySnapshot applies a peer's snapshot if it is ahead of the current state, and
+// reports whether it did. It validates the manifest again, so that a faulty peer
+// can't apply a manifest that the log would have refused. A snapshot that is not
+// ahead is ignored: a delayed or duplicate message must not roll the VM back.
 func (f *Follower) ApplySnapshot(data []byte) (bool, error) {
 	if len(data) > MaxSnapshotBytes {
-		return false, Error.New("a snapshot of %d bytes, at most %d", len(data), MaxSnapshotBytes)
+		return false, Error.New("snapshot is %d bytes, at most %d allowed", len(data), MaxSnapshotBytes)
 	}
 	c, err := recorder.Unwrap[recorder.Checkpoint](data)
 	if err != nil {
@@ -64,8 +64,8 @@
 		return false, Error.Wrap(err)
 	}
 	f.counts.adopted.Inc(1)
-	f.logger.Info().Uint64("version", s.Version).Uint64("read", s.Read).Msg("configuration taken from a peer")
-	f.caught = true
+	f.logger.Info().Uint64("version", s.Version).Uint64("read", s.Read).Msg("configuration restored from a peer")
+	f.caughtUp = true
 	f.reader.Jump(s)
 	f.publish(true)
 	return true, nil
