--- a/entry/request/chatter/fake_test.go
+++ b/entry/request/chatter/fake_test.go
@@ -156,7 +156,7 @@
 		p.mu.Lock()
 		p.given = append(p.given, u.Name)
 		p.mu.Unlock()
-		return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: u, Tokens: c.Ask.Tokens, Slot: place{places: p}}}}, nil
+		return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: u, Tokens: c.Ask.PromptTokens, Slot: place{places: p}}}}, nil
 	}
 	return nil, refuser.New(http.StatusTooManyRequests, "saturated", "full").WithRetryAfter(time.Second)
 }
@@ -168,7 +168,7 @@
 	g := &dispatcher.Grant{}
 	for i, u := range c.Pool.Upstreams {
 		g.Parts = append(g.Parts, dispatcher.Part{
-			Upstream: u, Tokens: c.Ask.Tokens / len(c.Pool.Upstreams), Slot: place{places: p, part: i},
+			Upstream: u, Tokens: c.Ask.PromptTokens / len(c.Pool.Upstreams), Slot: place{places: p, part: i},
 		})
 	}
 	return g
@@ -189,10 +189,10 @@
 
 type deaf struct{}
 
-func (deaf) Turned(string, uint64, string)      {}
-func (deaf) Begun(string, string, int, float64) {}
-func (deaf) First(string)                       {}
-func (deaf) Ended(string)                       {}
+func (deaf) ReportCold(string, uint64, string)        {}
+func (deaf) RequestSent(string, string, int, float64) {}
+func (deaf) FirstToken(string)                        {}
+func (deaf) RequestEnded(string)                      {}
 
 type rig struct {
 	*httptest.Server
@@ -208,12 +208,12 @@
 	t.Cleanup(upstream.CloseIdleConnections)
 	view := viewer.New(1, m, func(string, string) bool { return false })
 	c := chatter.New(chatter.Config{VM: "vm1", Boot: 3}, chatter.Deps{
-		Views:      func() *viewer.View { return view },
+		View:       func() *viewer.View { return view },
 		Reader:     &reader.Reader{MaxBytes: longest, Budget: r.bodies, Timeout: 200 * time.Millisecond},
 		Acquirer:   r.places,
 		Streamer:   streamer.New(&http.Client{Transport: upstream}),
 		Canceller:  r.cancels,
-		Watcher:    deaf{},
+		Observer:   deaf{},
 		Retrier:    retrier.New(retrier.Config{}, rand.New(rand.NewPCG(1, 2))),
 		Quarantine: quarantiner.New(quarantiner.Deps{Meter: meter.New(), Now: time.Now, Log: zerolog.Nop(), Broadcast: func() {}, MayRunTrial: nobody}),
 		Meter:      meter.New(),
--- a/entry/request/chatter/run.go
+++ b/entry/request/chatter/run.go
@@ -28,7 +28,7 @@
 
 // run has the work done, at another upstream where one has failed before the
 // first token and nothing can run twice unseen.
-func (c *Chatter) run(ctx context.Context, w http.ResponseWriter, j *job) {
+func (c *Handler) run(ctx context.Context, w http.ResponseWriter, j *job) {
 	for {
 		call := dispatcher.Call{Pool: j.pool, Ask: j.ask(), Avoid: j.avoid}
 		grant, refusal := c.acquirer.Acquire(ctx, call)
@@ -93,7 +93,7 @@
 
 // again decides whether the work is sent to another upstream; where it is not,
 // it ends the request with the failure.
-func (c *Chatter) again(ctx context.Context, w http.ResponseWriter, j *job, a *attempt, f *failure) bool {
+func (c *Handler) again(ctx context.Context, w http.ResponseWriter, j *job, a *attempt, f *failure) bool {
 	j.avoid = append(j.avoid, a.grant.Names()...)
 	if len(j.avoid) >= len(j.pool.Upstreams) {
 		j.avoid = nil
@@ -137,7 +137,7 @@
 	if !f.sent {
 		return false
 	}
-	for _, end := range []error{streamer.ErrCut, streamer.ErrGone, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
+	for _, end := range []error{streamer.ErrInterrupted, streamer.ErrGone, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(f.err, end) {
 			return true
 		}
@@ -158,7 +158,7 @@
 
 // An attempt is one sending of a job to the upstreams of a grant.
 type attempt struct {
-	chatter *Chatter
+	chatter *Handler
 	job     *job
 	call    dispatcher.Call
 	grant   *dispatcher.Grant
@@ -178,7 +178,7 @@
 	clear bool
 }
 
-func (c *Chatter) attempt(j *job, call dispatcher.Call, g *dispatcher.Grant) *attempt {
+func (c *Handler) attempt(j *job, call dispatcher.Call, g *dispatcher.Grant) *attempt {
 	a := &attempt{chatter: c, job: j, call: call, grant: g, id: j.id}
 	if j.tries > 1 {
 		a.id += "." + strconv.Itoa(j.tries)
@@ -195,8 +195,8 @@
 		header.Set(refuser.TriesHeader, strconv.Itoa(a.job.tries))
 	}
 	last := a.grant.Parts[len(a.grant.Parts)-1]
-	a.chatter.watcher.Begun(last.Upstream.Name, a.id, last.Tokens+last.Ahead, float64(last.Upstream.Prefill))
-	defer a.chatter.watcher.Ended(a.id)
+	a.chatter.watcher.RequestSent(last.Upstream.Name, a.id, last.Tokens+last.Ahead, float64(last.Upstream.Prefill))
+	defer a.chatter.watcher.RequestEnded(a.id)
 	stream, f := a.open(ctx)
 	if f != nil {
 		a.release(dispatcher.Refused)
@@ -240,7 +240,7 @@
 			stream, err := a.chatter.streamer.Open(ctx, part.Upstream.Address, job)
 			return stream, a.failed(part, err, sent)
 		}
-		handle, err := a.chatter.streamer.Part(ctx, part.Upstream.Address, job)
+		handle, err := a.chatter.streamer.PrefillPart(ctx, part.Upstream.Address, job)
 		if f := a.failed(part, err, sent); f != nil {
 			return nil, f
 		}
@@ -253,12 +253,12 @@
 func (a *attempt) wire(i int, part dispatcher.Part, text string, imports []streamer.Import) streamer.Job {
 	c := a.chatter.config
 	j := streamer.Job{
-		ID: a.id, VM: c.VM, Boot: c.Boot, Expect: part.Boot, Model: a.job.model,
-		Prompt: text, Output: a.job.output, Priority: a.priority(), Imports: imports,
+		ID: a.id, VM: c.VM, Boot: c.Boot, ExpectedBoot: part.Boot, Model: a.job.model,
+		Prompt: text, MaxOutputTokens: a.job.output, Priority: a.priority(), Imports: imports,
 	}
 	if i < len(a.grant.Parts)-1 {
 		j.ID += "-p" + strconv.Itoa(i)
-		j.Output = 0
+		j.MaxOutputTokens = 0
 	}
 	return j
 }
@@ -285,15 +285,15 @@
 	}
 	var r *streamer.RefusedError
 	if !errors.As(err, &r) {
-		a.chatter.watcher.Turned(part.Upstream.Name, 0, "reset")
+		a.chatter.watcher.ReportCold(part.Upstream.Name, 0, "reset")
 		return &failure{err: err, sent: true}
 	}
-	a.held[len(a.held)-1].clear = !r.Ran
+	a.held[len(a.held)-1].clear = !r.MayHaveRun
 	switch r.Code {
 	case "boot", "down", "unreached":
-		a.chatter.watcher.Turned(part.Upstream.Name, r.Boot, r.Code)
+		a.chatter.watcher.ReportCold(part.Upstream.Name, r.Boot, r.Code)
 	}
-	return &failure{err: err, sent: sent || r.Ran}
+	return &failure{err: err, sent: sent || r.MayHaveRun}
 }
 
 // release gives the places back. Where something still stands at an engine, its
