--- a/bench/spread_test.go
+++ b/bench/spread_test.go
@@ -71,7 +71,7 @@
 		assert.NilError(t, err)
 	}
 	for _, kind := range []string{recorder.KindPublish, recorder.KindOrder, recorder.KindCheckpoint, "later"} {
-		data, err := recorder.Wrap(kind, recorder.Checkpoint{Version: 9, Read: 99, Manifest: []byte("seats = 5")})
+		data, err := recorder.Wrap(kind, recorder.Checkpoint{Version: 9, LastOffset: 99, Manifest: []byte("seats = 5")})
 		assert.NilError(t, err)
 		_, err = log.Append(b.ctx, recorder.ConfigStream, data)
 		assert.NilError(t, err)
--- a/entry/process/coordinator/coordinator.go
+++ b/entry/process/coordinator/coordinator.go
@@ -78,7 +78,7 @@
 // the checker lets a manifest say of the log.
 func Today() Timings {
 	return Timings{
-		Lease: 2 * time.Second, Life: 2 * time.Second, Drift: 0.01, Keep: checker.LeastKeep,
+		Lease: 2 * time.Second, Life: 2 * time.Second, Drift: 0.01, Keep: checker.MinKeep,
 		Fresh: 3 * time.Second, Settle: 500 * time.Millisecond, Longest: 10 * time.Minute,
 		Gap: 10 * time.Millisecond, Beat: 500 * time.Millisecond, Suspect: 1500 * time.Millisecond,
 		Dead: 2500 * time.Millisecond, Absent: 15 * time.Second, Stall: time.Second,
--- a/entry/process/coordinator/run.go
+++ b/entry/process/coordinator/run.go
@@ -106,7 +106,7 @@
 	data, err := recorder.Wrap(recorder.KindClaim, c)
 	if err == nil {
 		limited, cancel := context.WithTimeout(ctx, o.c.Timings.Lease)
-		_, err = o.d.Log.Append(limited, recorder.Claims, data)
+		_, err = o.d.Log.Append(limited, recorder.ClaimStream, data)
 		cancel()
 	}
 	if err != nil {
@@ -124,7 +124,7 @@
 	for ctx.Err() == nil {
 		began := o.d.Ticker.Now()
 		limited, cancel := context.WithTimeout(ctx, lease)
-		b, err := o.d.Log.Read(limited, recorder.Claims, o.node.From(), mostClaims, lease/quarters)
+		b, err := o.d.Log.Read(limited, recorder.ClaimStream, o.node.From(), mostClaims, lease/quarters)
 		cancel()
 		if err != nil {
 			pause(ctx, rest)
--- a/entry/process/deduplicator/batcher.go
+++ b/entry/process/deduplicator/batcher.go
@@ -176,7 +176,7 @@
 		return nil
 	}
 	b.marked = false
-	most := recorder.MostCalls
+	most := recorder.MaxCalls
 	notes := min(len(b.notes), most/2)
 	n := min(len(b.intents), most-notes)
 	items := append(make([]item, 0, most), b.intents[:n]...)
@@ -218,6 +218,6 @@
 	defer cancel()
 	b.meter.Count("deduplicator.appends", 1)
 	b.meter.Count("deduplicator.entries", int64(len(items)))
-	_, err = b.log.Append(ctx, recorder.Calls, data)
+	_, err = b.log.Append(ctx, recorder.CallStream, data)
 	return err
 }
--- a/entry/process/deduplicator/tailer.go
+++ b/entry/process/deduplicator/tailer.go
@@ -45,7 +45,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readLimit)
 	defer cancel()
 	from, wait := t.deduplicator.place()
-	return t.log.Read(ctx, recorder.Calls, from, mostRecords, wait)
+	return t.log.Read(ctx, recorder.CallStream, from, mostRecords, wait)
 }
 
 // place is where to read on and how long to wait there. The first read only
--- a/entry/process/deduplicator/ticket.go
+++ b/entry/process/deduplicator/ticket.go
@@ -101,7 +101,7 @@
 	for name, value := range o.Header {
 		size += len(name) + len(value)
 	}
-	if size > maxHeader || len(o.Header) > recorder.MostHeaders {
+	if size > maxHeader || len(o.Header) > recorder.MaxHeaders {
 		o.Header = nil
 	}
 	return o
--- a/entry/process/keeper/keeper.go
+++ b/entry/process/keeper/keeper.go
@@ -121,7 +121,7 @@
 		data, err := recorder.Wrap(recorder.KindQuarantine, recorder.QuarantineRecord{Part: part})
 		if err == nil {
 			appendCtx, cancel := context.WithTimeout(ctx, appendTimeout)
-			_, err = k.deps.Log.Append(appendCtx, recorder.Quarantine, data)
+			_, err = k.deps.Log.Append(appendCtx, recorder.QuarantineStream, data)
 			cancel()
 		}
 		if err != nil {
@@ -137,7 +137,7 @@
 	for ctx.Err() == nil {
 		began := k.deps.Ticker.Now()
 		readCtx, cancel := context.WithTimeout(ctx, readTimeout)
-		b, err := k.deps.Log.Read(readCtx, recorder.Quarantine, k.nextOffset, maxRecordsPerRead, readWait)
+		b, err := k.deps.Log.Read(readCtx, recorder.QuarantineStream, k.nextOffset, maxRecordsPerRead, readWait)
 		cancel()
 		if err != nil {
 			k.deps.Logger.Debug().Err(err).Msg("could not read quarantine records")
--- a/entry/process/server/configure.go
+++ b/entry/process/server/configure.go
@@ -15,7 +15,7 @@
 	if s.Version == 0 {
 		return
 	}
-	view := viewer.New(s.Version, s.Manifest, func(kind, name string) bool { return s.Out(recorder.Target(kind), name) })
+	view := viewer.New(s.Version, s.Manifest, func(kind, name string) bool { return s.IsOut(recorder.Target(kind), name) })
 	if was := v.view.Swap(view); was == nil || was.Version != view.Version {
 		v.log.Info().Uint64("version", view.Version).Msg("configuration in force")
 	}
--- a/entry/process/server/coordination.go
+++ b/entry/process/server/coordination.go
@@ -45,7 +45,7 @@
 // read is how far this VM has read the configuration, for heartbeats.
 func (v *Server) read() uint64 {
 	if s := v.follower.State(); s != nil {
-		return s.Read
+		return s.LastOffset
 	}
 	return 0
 }
--- a/entry/process/setter/checks.go
+++ b/entry/process/setter/checks.go
@@ -58,13 +58,13 @@
 
 func (c *checks) name(place, name string) {
 	if !checker.ValidName(name) {
-		c.found.Addf(place, "%q is not 1 to 40 of a-z, 0-9 and -", decoder.Shown(name))
+		c.found.Addf(place, "%q is not 1 to 40 of a-z, 0-9 and -", decoder.Truncate(name))
 	}
 }
 
 func (c *checks) address(place, address string) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		c.found.Addf(place, "%q is not an IP number and a port, such as 10.0.0.7:8000", decoder.Shown(address))
+		c.found.Addf(place, "%q is not an IP number and a port, such as 10.0.0.7:8000", decoder.Truncate(address))
 	}
 }
 
@@ -95,7 +95,7 @@
 func (c *checks) url(place, text string) {
 	u, err := url.Parse(text)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" || u.RawQuery != "" || u.User != nil {
-		c.found.Addf(place, "%q is not a URL such as http://10.0.0.5:7000", decoder.Shown(text))
+		c.found.Addf(place, "%q is not a URL such as http://10.0.0.5:7000", decoder.Truncate(text))
 	}
 }
 
@@ -126,8 +126,8 @@
 	for _, a := range allowed {
 		words = append(words, string(a))
 	}
-	c.found.Hintf(place, string(value), words,
-		"is %q, none of %s", decoder.Shown(string(value)), strings.Join(words, ", "))
+	c.found.AddHintf(place, string(value), words,
+		"is %q, none of %s", decoder.Truncate(string(value)), strings.Join(words, ", "))
 }
 
 // files reports the files that the settings name and that can't be read.
--- a/entry/request/passer/keyed.go
+++ b/entry/request/passer/keyed.go
@@ -68,7 +68,7 @@
 func (a *answer) outcome() recorder.Outcome {
 	o := recorder.Outcome{Status: a.status, Header: make(map[string]string), Body: a.body, Kept: true}
 	for _, name := range slices.Sorted(maps.Keys(a.header)) {
-		if len(o.Header) < recorder.MostHeaders && !volatile[name] {
+		if len(o.Header) < recorder.MaxHeaders && !volatile[name] {
 			o.Header[name] = a.header.Get(name)
 		}
 	}
--- a/entry/version/follower/counts.go
+++ b/entry/version/follower/counts.go
@@ -43,9 +43,9 @@
 		c.ignored.Inc(1)
 	}
 	switch v.Reason {
-	case folder.ReasonBroken:
+	case folder.ReasonMalformed:
 		c.broken.Inc(1)
-	case folder.ReasonBack:
+	case folder.ReasonOldOffset:
 		c.back.Inc(1)
 	}
 }
--- a/entry/version/follower/duty.go
+++ b/entry/version/follower/duty.go
@@ -54,22 +54,22 @@
 func (f *Follower) checkpoint(start uint64, s folder.Step) {
 	r, before := s.Record, s.Before
 	c, err := recorder.Unwrap[recorder.Checkpoint](r.Data)
-	if err != nil || c.Read+fresh < r.Offset {
+	if err != nil || c.LastOffset+fresh < r.Offset {
 		return
 	}
-	if c.Read == before.Read && !same(c, *before) {
+	if c.LastOffset == before.LastOffset && !same(c, *before) {
 		f.counts.disagreed.Inc(1)
 		f.logger.Error().Uint64("offset", r.Offset).Msg("a checkpoint disagrees with the state in force")
 		return
 	}
-	if _, ok := folder.Found(nil, start, start, r); ok {
+	if _, ok := folder.Bootstrap(nil, start, start, r); ok {
 		f.duty.saw(f.ticker.Now(), r)
 	}
 }
 
 func same(c recorder.Checkpoint, s folder.State) bool {
 	a, errA := recorder.Encode(c)
-	b, errB := recorder.Encode(folder.Store(s))
+	b, errB := recorder.Encode(folder.NewCheckpoint(s))
 	return errA == nil && errB == nil && bytes.Equal(a, b)
 }
 
@@ -81,11 +81,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state.Load()
-	if s == nil || s.Read == 0 || f.back || !f.ended {
+	if s == nil || s.LastOffset == 0 || f.back || !f.ended {
 		return false
 	}
 	old := now.Sub(f.duty.stored) >= retention(*s)/dueParts
-	far := s.Read >= f.duty.offset+folder.Window
+	far := s.LastOffset >= f.duty.offset+folder.CheckpointWindow
 	return (old || far) && !now.Before(f.duty.next)
 }
 
--- a/entry/version/follower/follower.go
+++ b/entry/version/follower/follower.go
@@ -94,7 +94,7 @@
 	return &Follower{
 		log: log, ticker: t, logger: logger,
 		counts: newCounts(registry),
-		reader: folder.NewReader(folder.Window),
+		reader: folder.NewReader(folder.CheckpointWindow),
 		subs:   map[int]func(folder.State){},
 	}
 }
@@ -194,8 +194,8 @@
 // take folds the answer to a read from an offset on.
 func (f *Follower) take(from uint64, b appender.Batch) error {
 	f.empty = len(b.Records) == 0
-	gap := f.reader.Gap()
-	steps, err := f.reader.Take(from, batch(b))
+	gap := f.reader.HasGap()
+	steps, err := f.reader.Process(from, batch(b))
 	f.back = err != nil
 	if err != nil {
 		// The state stays in force, and no record is read until an operator
@@ -203,9 +203,9 @@
 		f.counts.back.Inc(1)
 		return err
 	}
-	if f.reader.Gap() && !gap {
+	if f.reader.HasGap() && !gap {
 		f.counts.gaps.Inc(1)
-		f.logger.Warn().Uint64("read", f.reader.State().Read).Uint64("start", b.Start).
+		f.logger.Warn().Uint64("read", f.reader.State().LastOffset).Uint64("start", b.Start).
 			Msg("the log dropped records that were not read")
 	}
 	changed := false
@@ -213,7 +213,7 @@
 		changed = f.step(b.Start, s) || changed
 	}
 	s := f.reader.State()
-	f.ended = s != nil && !f.reader.Gap() && s.Read+1 >= b.End
+	f.ended = s != nil && !f.reader.HasGap() && s.LastOffset+1 >= b.End
 	if f.ended && !f.caught {
 		f.caught, changed = true, true
 	}
@@ -232,9 +232,9 @@
 // step counts and logs what a record did, and says whether it changed what is
 // in force.
 func (f *Follower) step(start uint64, s folder.Step) bool {
-	if s.Found {
+	if s.Bootstrapped {
 		f.duty.saw(f.ticker.Now(), s.Record)
-		f.logger.Info().Uint64("version", s.After.Version).Uint64("read", s.After.Read).Msg("configuration found")
+		f.logger.Info().Uint64("version", s.After.Version).Uint64("read", s.After.LastOffset).Msg("configuration found")
 		return true
 	}
 	f.counts.record(s.Verdict)
@@ -261,7 +261,7 @@
 	}
 	f.state.Store(s)
 	f.counts.version.Update(int64(s.Version))
-	f.counts.read.Update(int64(s.Read))
+	f.counts.read.Update(int64(s.LastOffset))
 	if !changed {
 		return
 	}
@@ -281,15 +281,15 @@
 	case s == nil && f.failed != nil:
 		return false, fmt.Sprintf("no configuration: no peer has one, and the log can't be read: %v", f.failed)
 	case s == nil && f.reader.State() != nil:
-		return false, fmt.Sprintf("the log is being read, so far up to %d", f.reader.State().Read)
-	case s == nil && !f.reader.Lost():
+		return false, fmt.Sprintf("the log is being read, so far up to %d", f.reader.State().LastOffset)
+	case s == nil && !f.reader.Exhausted():
 		return false, "no configuration: the log has not been read yet"
 	case s == nil:
 		return false, "no configuration: neither the log has a checkpoint nor a peer a state; publish anew"
 	case s.Version == 0:
 		return false, "no manifest has been published"
-	case f.reader.Gap():
-		return true, fmt.Sprintf("version %d stays in force: the log dropped records after %d unread; publish anew", s.Version, s.Read)
+	case f.reader.HasGap():
+		return true, fmt.Sprintf("version %d stays in force: the log dropped records after %d unread; publish anew", s.Version, s.LastOffset)
 	case f.back:
 		return true, fmt.Sprintf("version %d stays in force: %v", s.Version, f.failed)
 	case f.failed != nil:
--- a/entry/version/follower/follower_test.go
+++ b/entry/version/follower/follower_test.go
@@ -178,7 +178,7 @@
 	f := w.follow()
 	assert.ErrorContains(t, w.read(f), "refused")
 	ready(t, f, false, "no peer has one, and the log can't be read")
-	assert.Assert(t, f.ShouldFetch(peer.State().Read, w.clock))
+	assert.Assert(t, f.ShouldFetch(peer.State().LastOffset, w.clock))
 	snapshot, err := peer.Snapshot()
 	assert.NilError(t, err)
 	adopted, err := f.ApplySnapshot(snapshot)
@@ -189,7 +189,7 @@
 	w.log.down = nil
 	w.out("a")
 	assert.NilError(t, w.read(f))
-	assert.Assert(t, f.State().Out(recorder.TargetZone, "a"))
+	assert.Assert(t, f.State().IsOut(recorder.TargetZone, "a"))
 	ready(t, f, true, "")
 }
 
@@ -201,9 +201,9 @@
 	w.publish(1)
 	w.out("a")
 	assert.NilError(t, w.read(peer))
-	assert.Assert(t, !slow.ShouldFetch(peer.State().Read, w.clock), "peers differ by a moment at any change")
+	assert.Assert(t, !slow.ShouldFetch(peer.State().LastOffset, w.clock), "peers differ by a moment at any change")
 	w.clock = w.clock.Add(time.Second)
-	assert.Assert(t, slow.ShouldFetch(peer.State().Read, w.clock))
+	assert.Assert(t, slow.ShouldFetch(peer.State().LastOffset, w.clock))
 	old, err := slow.Snapshot()
 	assert.NilError(t, err)
 	snapshot, err := peer.Snapshot()
@@ -248,7 +248,7 @@
 func TestBrokenSnapshotsAreRefused(t *testing.T) {
 	w := newWorld(t)
 	w.publish(0)
-	good := folder.Store(*w.started().State())
+	good := folder.NewCheckpoint(*w.started().State())
 	bad := good
 	bad.Manifest = []byte("seats = 0")
 	f := w.follow()
@@ -306,7 +306,7 @@
 	assert.NilError(t, f.WriteCheckpoint(context.Background()))
 	assert.NilError(t, w.read(f))
 	w.clock = w.clock.Add(5 * time.Minute)
-	for range folder.Window {
+	for range folder.CheckpointWindow {
 		assert.Assert(t, !f.CheckpointDue(w.clock))
 		w.publish(f.State().Version)
 		assert.NilError(t, w.read(f))
@@ -380,7 +380,7 @@
 	f := w.started()
 	w.append("later", 5)
 	w.append(recorder.KindCheckpoint, "x")
-	w.append(recorder.KindCheckpoint, recorder.Checkpoint{Read: 3})
+	w.append(recorder.KindCheckpoint, recorder.Checkpoint{LastOffset: 3})
 	_, err := w.log.Append(context.Background(), recorder.ConfigStream, []byte("\xffhello"))
 	assert.NilError(t, err)
 	assert.NilError(t, w.read(f))
@@ -388,7 +388,7 @@
 	assert.Assert(t, f.CheckpointDue(w.clock), "a false checkpoint was taken for a good one")
 	w.out("a")
 	assert.NilError(t, w.read(f))
-	assert.Assert(t, f.State().Out(recorder.TargetZone, "a"))
+	assert.Assert(t, f.State().IsOut(recorder.TargetZone, "a"))
 	ready(t, f, true, "")
 }
 
--- a/entry/version/follower/hours_test.go
+++ b/entry/version/follower/hours_test.go
@@ -53,7 +53,7 @@
 		ready, reason := f.Ready()
 		assert.Assert(t, ready, "%s at %s", reason, h.clock)
 		assert.Equal(t, f.State().Version, h.version)
-		assert.Equal(t, f.State().Out(recorder.TargetZone, "a"), h.out)
+		assert.Equal(t, f.State().IsOut(recorder.TargetZone, "a"), h.out)
 	}
 	if f.CheckpointDue(h.clock) {
 		h.log.lose = rapid.IntRange(0, 3).Draw(t, "lost") == 0
--- a/entry/version/follower/peer.go
+++ b/entry/version/follower/peer.go
@@ -23,11 +23,11 @@
 	if s == nil {
 		return read > 0
 	}
-	if read <= s.Read || !f.caught {
-		return read > s.Read
+	if read <= s.LastOffset || !f.caught {
+		return read > s.LastOffset
 	}
-	if f.stuck.read != s.Read || f.stuck.since.IsZero() {
-		f.stuck.read, f.stuck.since = s.Read, now
+	if f.stuck.read != s.LastOffset || f.stuck.since.IsZero() {
+		f.stuck.read, f.stuck.since = s.LastOffset, now
 	}
 	return now.Sub(f.stuck.since) >= lag
 }
@@ -38,7 +38,7 @@
 	if s == nil {
 		return nil, Error.New("no state in force")
 	}
-	data, err := recorder.Wrap(recorder.KindCheckpoint, folder.Store(*s))
+	data, err := recorder.Wrap(recorder.KindCheckpoint, folder.NewCheckpoint(*s))
 	return data, Error.Wrap(err)
 }
 
@@ -56,7 +56,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s := f.reader.State(); s != nil && (c.Read <= s.Read || c.Version < s.Version) {
+	if s := f.reader.State(); s != nil && (c.LastOffset <= s.LastOffset || c.Version < s.Version) {
 		return false, nil
 	}
 	s, err := folder.Restore(c)
@@ -64,9 +64,9 @@
 		return false, Error.Wrap(err)
 	}
 	f.counts.adopted.Inc(1)
-	f.logger.Info().Uint64("version", s.Version).Uint64("read", s.Read).Msg("configuration taken from a peer")
+	f.logger.Info().Uint64("version", s.Version).Uint64("read", s.LastOffset).Msg("configuration taken from a peer")
 	f.caught = true
-	f.reader.Jump(s)
+	f.reader.SetState(s)
 	f.publish(true)
 	return true, nil
 }
--- a/library/checker/bench_test.go
+++ b/library/checker/bench_test.go
@@ -32,11 +32,11 @@
 		data := fleet(size.upstreams, size.teams)
 		b.Run(fmt.Sprintf("upstreams=%d/teams=%d", size.upstreams, size.teams), func(b *testing.B) {
 			b.ReportAllocs()
-			packed, err := recorder.Pack(data)
+			packed, err := recorder.Compress(data)
 			assert.NilError(b, err)
 			assert.Assert(b, len(packed) < recorder.MaxManifest)
 			for b.Loop() {
-				source, err := recorder.Unpack(packed, checker.MaxBytes)
+				source, err := recorder.Decompress(packed, checker.MaxBytes)
 				assert.NilError(b, err)
 				_, found := checker.Parse(source)
 				assert.NilError(b, found.Err())
--- a/library/checker/checker.go
+++ b/library/checker/checker.go
@@ -89,7 +89,7 @@
 
 func (c *checker) name(place, name string) {
 	if !ValidName(name) {
-		c.found.Addf(place, "the name %q is not 1 to 40 of a-z, 0-9 and -", decoder.Shown(name))
+		c.found.Addf(place, "the name %q is not 1 to 40 of a-z, 0-9 and -", decoder.Truncate(name))
 	}
 }
 
@@ -98,8 +98,8 @@
 	if _, ok := slices.BinarySearch(names, name); ok {
 		return
 	}
-	c.found.Hintf(place, name, names,
-		"names the %s %q, which the manifest does not have", kind, decoder.Shown(name))
+	c.found.AddHintf(place, name, names,
+		"names the %s %q, which the manifest does not have", kind, decoder.Truncate(name))
 }
 
 func (c *checker) top() {
@@ -112,15 +112,15 @@
 	if keep <= window || keep > 2*maxTime {
 		c.found.Addf("keep", "is %s, not longer than window (%s) and at most %s", keep, window, 2*maxTime)
 	}
-	if keep < LeastKeep {
-		c.found.Addf("keep", "is %s, shorter than %s", keep, LeastKeep)
+	if keep < MinKeep {
+		c.found.Addf("keep", "is %s, shorter than %s", keep, MinKeep)
 	}
 	seen := map[string]bool{}
 	for i, zone := range c.m.Zones {
 		place := fmt.Sprintf("zones[%d]", i)
 		c.name(place, zone)
 		if seen[zone] {
-			c.found.Addf(place, "names the zone %q twice", decoder.Shown(zone))
+			c.found.Addf(place, "names the zone %q twice", decoder.Truncate(zone))
 		}
 		seen[zone] = true
 	}
@@ -147,7 +147,7 @@
 		return cmp.Or(cmp.Compare(c.m.Classes[a].Prompt, c.m.Classes[b].Prompt), cmp.Compare(a, b))
 	})
 	for i, name := range names {
-		place, class := decoder.Join("classes", name), c.m.Classes[name]
+		place, class := decoder.JoinPath("classes", name), c.m.Classes[name]
 		c.name(place, name)
 		c.within(place+".prompt", class.Prompt, 1, maxTokens)
 		c.limits(place, class.Limit, class.Least, class.Most)
@@ -167,28 +167,28 @@
 
 func (c *checker) models() {
 	for _, name := range c.modelNames {
-		place, m := decoder.Join("models", name), c.m.Models[name]
+		place, m := decoder.JoinPath("models", name), c.m.Models[name]
 		c.name(place, name)
 		c.within(place+".context", m.Context, 1, maxTokens)
 		c.within(place+".output", m.Output, 1, max(1, m.Context))
 		c.within(place+".bytes", m.Bytes, 1, maxBytes)
-		if load := time.Duration(m.Load); load < 0 || load > MostLoad {
-			c.found.Addf(place+".load", "is %s, not between 0s and %s", load, MostLoad)
+		if load := time.Duration(m.Load); load < 0 || load > MaxLoad {
+			c.found.Addf(place+".load", "is %s, not between 0s and %s", load, MaxLoad)
 		}
 		if !versionForm.MatchString(m.Version) {
-			c.found.Addf(place+".version", "%q is not 1 to 40 of letters, digits, dot, _ and -", decoder.Shown(m.Version))
+			c.found.Addf(place+".version", "%q is not 1 to 40 of letters, digits, dot, _ and -", decoder.Truncate(m.Version))
 		}
 	}
 }
 
 func (c *checker) services() {
 	for _, name := range c.serviceNames {
-		place, s := decoder.Join("services", name), c.m.Services[name]
+		place, s := decoder.JoinPath("services", name), c.m.Services[name]
 		c.name(place, name)
 		c.limits(place, s.Limit, s.Least, s.Most)
 		if s.Keys != KeysDated && s.Keys != KeysAny {
-			c.found.Hintf(place+".keys", s.Keys, []string{KeysDated, KeysAny},
-				"is %q, not %q or %q", decoder.Shown(s.Keys), KeysDated, KeysAny)
+			c.found.AddHintf(place+".keys", s.Keys, []string{KeysDated, KeysAny},
+				"is %q, not %q or %q", decoder.Truncate(s.Keys), KeysDated, KeysAny)
 		}
 		for i, call := range s.Repeatable {
 			c.call(fmt.Sprintf("%s.repeatable[%d]", place, i), call)
@@ -199,18 +199,18 @@
 func (c *checker) call(place, call string) {
 	method, path, split := strings.Cut(call, " ")
 	if !slices.Contains(methods, method) {
-		c.found.Hintf(place, strings.ToUpper(method), methods,
-			"the method %q is none of %s", decoder.Shown(method), strings.Join(methods, ", "))
+		c.found.AddHintf(place, strings.ToUpper(method), methods,
+			"the method %q is none of %s", decoder.Truncate(method), strings.Join(methods, ", "))
 	}
 	if split && (!strings.HasPrefix(path, "/") || strings.ContainsAny(path, " ?#")) {
-		c.found.Addf(place, "%q is not a path that begins with /", decoder.Shown(path))
+		c.found.Addf(place, "%q is not a path that begins with /", decoder.Truncate(path))
 	}
 }
 
 func (c *checker) upstreams() {
 	owner := map[netip.AddrPort]string{}
 	for _, name := range sorted(c.m.Upstreams) {
-		place, u := decoder.Join("upstreams", name), c.m.Upstreams[name]
+		place, u := decoder.JoinPath("upstreams", name), c.m.Upstreams[name]
 		c.name(place, name)
 		c.role(place, u)
 		c.zone(place+".zone", u.Zone)
@@ -218,7 +218,7 @@
 		c.within(place+".cold", u.Cold, 1, max(1, u.Slots))
 		at, err := netip.ParseAddrPort(u.Address)
 		if err != nil || at.Port() == 0 {
-			c.found.Addf(place+".address", "%q is not an IP number and a port, such as 10.0.0.7:8000", decoder.Shown(u.Address))
+			c.found.Addf(place+".address", "%q is not an IP number and a port, such as 10.0.0.7:8000", decoder.Truncate(u.Address))
 			continue
 		}
 		at = netip.AddrPortFrom(at.Addr().Unmap(), at.Port())
@@ -261,7 +261,7 @@
 func (c *checker) teams() {
 	owner := map[string]string{}
 	for _, name := range sorted(c.m.Teams) {
-		place, t := decoder.Join("teams", name), c.m.Teams[name]
+		place, t := decoder.JoinPath("teams", name), c.m.Teams[name]
 		c.name(place, name)
 		c.within(place+".share", t.Share, 1, maxShare)
 		for i, token := range t.Tokens {
--- a/library/checker/checker_test.go
+++ b/library/checker/checker_test.go
@@ -119,7 +119,7 @@
 	} {
 		_, found := checker.Parse([]byte(text))
 		assert.Assert(t, len(found) > 0, name)
-		assert.Assert(t, len(found) <= finder.Most, name)
+		assert.Assert(t, len(found) <= finder.MaxFindings, name)
 		assert.Assert(t, len(found.Err().Error()) < 10_000, name)
 	}
 }
--- a/library/checker/preset.go
+++ b/library/checker/preset.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// MostLoad is the longest time that a model may say that it takes to load.
+// MaxLoad is the longest time that a model may say that it takes to load.
 // Holders write their claims again after a quarter of LeastKeep, and order an
 // engine only once they have held it under one claim for longer than a load.
-const MostLoad = 10 * time.Minute
+const MaxLoad = 10 * time.Minute
 
-// LeastKeep is the shortest time for which a platform's log may keep records.
+// MinKeep is the shortest time for which a platform's log may keep records.
 // Claims to upstreams are written again well within it. Were they forgotten
 // while their holder lends, a VM that starts then would see nobody's claim, make
 // one, and lend the same slots a second time.
-const LeastKeep = time.Hour
+const MinKeep = time.Hour
 
 // Defaults of a manifest. Limits of time suit an assistant that answers in
 // seconds; operators with longer work write their own.
 const (
 	defaultSeats  = 9 // the largest number of entry VMs in use today
 	defaultWindow = 10 * time.Minute
-	defaultKeep   = LeastKeep
+	defaultKeep   = MinKeep
 	defaultOutput = 4096
 	defaultBytes  = 4
 )
@@ -31,27 +31,27 @@
 	}
 }
 
-// Preset fills in the limits of a class that names none.
-func (c *Class) Preset() {
+// SetDefaults fills in the limits of a class that names none.
+func (c *Class) SetDefaults() {
 	c.Limit, c.Least, c.Most = Duration(time.Minute), Duration(time.Second), Duration(10*time.Minute)
 }
 
-// Preset fills in the defaults of a model.
-func (m *Model) Preset() {
+// SetDefaults fills in the defaults of a model.
+func (m *Model) SetDefaults() {
 	m.Bytes, m.Version = defaultBytes, "1"
 }
 
-// Preset fills in the defaults of a service.
-func (s *Service) Preset() {
+// SetDefaults fills in the defaults of a service.
+func (s *Service) SetDefaults() {
 	s.Keys = KeysDated
 	s.Limit, s.Least, s.Most = Duration(10*time.Second), Duration(100*time.Millisecond), Duration(time.Minute)
 }
 
-// Preset fills in the defaults of an upstream: one request while it is cold.
-func (u *Upstream) Preset() { u.Cold = 1 }
+// SetDefaults fills in the defaults of an upstream: one request while it is cold.
+func (u *Upstream) SetDefaults() { u.Cold = 1 }
 
-// Preset fills in the defaults of a team.
-func (t *Team) Preset() { t.Share = 1 }
+// SetDefaults fills in the defaults of a team.
+func (t *Team) SetDefaults() { t.Share = 1 }
 
 // fill sets what depends on other values, after reading.
 func (m *Manifest) fill() {
--- a/library/decoder/decoder.go
+++ b/library/decoder/decoder.go
@@ -45,11 +45,11 @@
 	return w.found
 }
 
-// A Presetter is an entry of a table whose fields have other defaults than
+// A Defaulter is an entry of a table whose fields have other defaults than
 // zero. It is preset before its keys are read, so that a zero that somebody
 // wrote is told from a key left out.
-type Presetter interface {
-	Preset()
+type Defaulter interface {
+	SetDefaults()
 }
 
 type walker struct {
@@ -59,14 +59,14 @@
 func (w *walker) syntax(err error) {
 	var p toml.ParseError
 	if !errors.As(err, &p) {
-		w.found.Addf("line 1", "%s", Shown(err.Error()))
+		w.found.Addf("line 1", "%s", Truncate(err.Error()))
 		return
 	}
 	text := p.Message
 	if text == "" {
 		text = p.Error()
 	}
-	w.found.Addf(fmt.Sprintf("line %d", p.Position.Line), "%s", Shown(text))
+	w.found.Addf(fmt.Sprintf("line %d", p.Position.Line), "%s", Truncate(text))
 }
 
 // table reads a TOML table into a struct, key by key in the order of names, so
@@ -74,10 +74,10 @@
 func (w *walker) table(place string, raw map[string]any, v reflect.Value) {
 	fields := fieldsOf(v)
 	for _, key := range slices.Sorted(maps.Keys(raw)) {
-		at := Join(place, key)
+		at := JoinPath(place, key)
 		f, ok := fields[key]
 		if !ok {
-			w.found.Hintf(at, strings.ToLower(key), slices.Sorted(maps.Keys(fields)), "unknown key")
+			w.found.AddHintf(at, strings.ToLower(key), slices.Sorted(maps.Keys(fields)), "unknown key")
 			continue
 		}
 		w.value(at, raw[key], f)
@@ -136,7 +136,7 @@
 		return
 	}
 	if err := into.UnmarshalText([]byte(s)); err != nil {
-		w.found.Addf(place, "%s", Shown(err.Error()))
+		w.found.Addf(place, "%s", Truncate(err.Error()))
 	}
 }
 
@@ -144,10 +144,10 @@
 	m := reflect.MakeMapWithSize(v.Type(), len(raw))
 	for _, key := range slices.Sorted(maps.Keys(raw)) {
 		e := reflect.New(v.Type().Elem()).Elem()
-		if p, ok := e.Addr().Interface().(Presetter); ok {
-			p.Preset()
+		if p, ok := e.Addr().Interface().(Defaulter); ok {
+			p.SetDefaults()
 		}
-		w.value(Join(place, key), raw[key], e)
+		w.value(JoinPath(place, key), raw[key], e)
 		m.SetMapIndex(reflect.ValueOf(key), e)
 	}
 	v.Set(m)
@@ -161,11 +161,11 @@
 	v.Set(l)
 }
 
-// Join puts a key behind a dotted place; a key that would blur the place is
+// JoinPath puts a key behind a dotted place; a key that would blur the place is
 // quoted.
-func Join(place, key string) string {
+func JoinPath(place, key string) string {
 	if key == "" || strings.ContainsAny(key, ". \t\r\n\"'") || len(key) > maxShown {
-		key = fmt.Sprintf("%q", Shown(key))
+		key = fmt.Sprintf("%q", Truncate(key))
 	}
 	if place == "" {
 		return key
@@ -173,8 +173,8 @@
 	return place + "." + key
 }
 
-// Shown cuts a text from an input to a length fit for a finding.
-func Shown(text string) string {
+// Truncate cuts a text from an input to a length fit for a finding.
+func Truncate(text string) string {
 	if len(text) <= maxShown {
 		return text
 	}
--- a/library/decoder/decoder_test.go
+++ b/library/decoder/decoder_test.go
@@ -15,8 +15,8 @@
 	Words  []string `toml:"words"`
 }
 
-// Preset gives the number another default than zero.
-func (i *inner) Preset() { i.Number = 7 }
+// SetDefaults gives the number another default than zero.
+func (i *inner) SetDefaults() { i.Number = 7 }
 
 type outer struct {
 	Name  string           `toml:"name"`
--- a/library/finder/finder.go
+++ b/library/finder/finder.go
@@ -31,9 +31,9 @@
 // Findings are all that is wrong with one input, in the order of reading.
 type Findings []Finding
 
-// Most bounds the findings about one input. A hostile input could otherwise
+// MaxFindings bounds the findings about one input. A hostile input could otherwise
 // have a hundred thousand, each with a hint that is searched among all names.
-const Most = 100
+const MaxFindings = 100
 
 // Addf appends a finding at a place, up to Most.
 func (f *Findings) Addf(place, format string, args ...any) {
@@ -42,9 +42,9 @@
 	}
 }
 
-// Hintf appends a finding about a word, up to Most, with the candidate that the
+// AddHintf appends a finding about a word, up to Most, with the candidate that the
 // word was probably meant to be.
-func (f *Findings) Hintf(place, word string, candidates []string, format string, args ...any) {
+func (f *Findings) AddHintf(place, word string, candidates []string, format string, args ...any) {
 	if f.room() {
 		text := fmt.Sprintf(format, args...)
 		*f = append(*f, Finding{Place: place, Text: text, Hint: Nearest(word, candidates)})
@@ -54,10 +54,10 @@
 // room says whether a finding more is listed, and ends a full list with a word
 // that there are more.
 func (f *Findings) room() bool {
-	if len(*f) == Most-1 {
+	if len(*f) == MaxFindings-1 {
 		*f = append(*f, Finding{Place: "line 1", Text: "more findings than are listed here"})
 	}
-	return len(*f) < Most
+	return len(*f) < MaxFindings
 }
 
 // Err returns nil where nothing was found, else an error that lists all.
--- a/library/finder/finder_test.go
+++ b/library/finder/finder_test.go
@@ -26,13 +26,13 @@
 func TestFindingsAreBounded(t *testing.T) {
 	var found finder.Findings
 	assert.NilError(t, found.Err())
-	for i := range 3 * finder.Most {
+	for i := range 3 * finder.MaxFindings {
 		found.Addf(fmt.Sprint("place", i), "is wrong")
-		found.Hintf("place", "zoen", []string{"zone"}, "is wrong")
+		found.AddHintf("place", "zoen", []string{"zone"}, "is wrong")
 	}
-	assert.Equal(t, len(found), finder.Most)
+	assert.Equal(t, len(found), finder.MaxFindings)
 	assert.Equal(t, found[1].String(), "place: is wrong (did you mean zone?)")
-	assert.Equal(t, found[finder.Most-1].Text, "more findings than are listed here")
+	assert.Equal(t, found[finder.MaxFindings-1].Text, "more findings than are listed here")
 	var e *finder.Error
 	assert.Assert(t, errors.As(found.Err(), &e))
 }
--- a/library/folder/apply.go
+++ b/library/folder/apply.go
@@ -39,11 +39,11 @@
 
 // The reasons of ignored records that readers count apart.
 const (
-	ReasonBack   = "the offset goes back or repeats"
-	ReasonGap    = "records before it are missing"
-	ReasonBroken = "it can't be read"
-	ReasonTwice  = "it was appended twice"
-	ReasonStored = "a checkpoint changes nothing where there is a state"
+	ReasonOldOffset  = "the offset goes back or repeats"
+	ReasonOffsetGap  = "records before it are missing"
+	ReasonMalformed  = "it can't be read"
+	ReasonDuplicate  = "it was appended twice"
+	ReasonCheckpoint = "a checkpoint changes nothing where there is a state"
 )
 
 // Apply returns the state after one more record, and the verdict on it. A
@@ -55,17 +55,17 @@
 func Apply(s State, r Record) (State, Verdict) {
 	v := Verdict{Outcome: Ignored, Offset: r.Offset}
 	switch {
-	case r.Offset <= s.Read:
-		v.Reason = ReasonBack
+	case r.Offset <= s.LastOffset:
+		v.Reason = ReasonOldOffset
 		return s, v
-	case r.Offset > s.Read+1:
-		v.Reason = ReasonGap
+	case r.Offset > s.LastOffset+1:
+		v.Reason = ReasonOffsetGap
 		return s, v
 	}
-	s.Read = r.Offset
+	s.LastOffset = r.Offset
 	kind, err := recorder.Kind(r.Data)
 	if err != nil {
-		v.Reason = ReasonBroken
+		v.Reason = ReasonMalformed
 		return s, v
 	}
 	v.Kind = kind
@@ -75,7 +75,7 @@
 	case recorder.KindOrder:
 		return s.order(r, v)
 	case recorder.KindCheckpoint:
-		v.Reason = ReasonStored
+		v.Reason = ReasonCheckpoint
 	default:
 		v.Reason = fmt.Sprintf("the kind %q is not known", kind)
 	}
@@ -85,7 +85,7 @@
 func (s State) publish(r Record, v Verdict) (State, Verdict) {
 	p, err := recorder.Unwrap[recorder.Publish](r.Data)
 	if err != nil || !plain(p.Who, MaxWho) || !plainOrEmpty(p.Why, MaxWhy) || !id(p.ID) {
-		v.Reason = ReasonBroken
+		v.Reason = ReasonMalformed
 		return s, v
 	}
 	v.ID = p.ID
@@ -96,7 +96,7 @@
 		from = p.Base
 	}
 	if s.seen(p.ID, from) {
-		v.Reason = ReasonTwice
+		v.Reason = ReasonDuplicate
 		return s, v
 	}
 	c := change(r, p.Who, p.ID, fmt.Sprintf("publish on %d", p.Base))
@@ -109,7 +109,7 @@
 	}
 	before := s
 	if p.Anew {
-		before = State{Read: s.Read, Anew: r.Offset}
+		before = State{LastOffset: s.LastOffset, Anew: r.Offset}
 	}
 	after, found := before.manifested(r.Offset, p.Manifest)
 	if len(found) > 0 {
@@ -145,12 +145,12 @@
 	o, err := recorder.Unwrap[recorder.Order](r.Data)
 	if err != nil || !plain(o.Who, MaxWho) || !plainOrEmpty(o.Why, MaxWhy) || !id(o.ID) ||
 		!checker.ValidName(o.Name) || !target(o.Kind) {
-		v.Reason = ReasonBroken
+		v.Reason = ReasonMalformed
 		return s, v
 	}
 	v.ID = o.ID
 	if s.seen(o.ID, 0) {
-		v.Reason = ReasonTwice
+		v.Reason = ReasonDuplicate
 		return s, v
 	}
 	c := change(r, o.Who, o.ID, fmt.Sprintf("%s %s %s", o.Kind, direction(o.Out), o.Name))
@@ -158,7 +158,7 @@
 	if reason := s.orderless(r, o); reason != "" {
 		return s.refuse(c, v, reason)
 	}
-	names := maps.Clone(outsOf(&s.Outs, o.Kind))
+	names := maps.Clone(outsOf(&s.OutOfService, o.Kind))
 	if names == nil {
 		names = map[string]uint64{}
 	}
@@ -170,7 +170,7 @@
 	if len(names) == 0 {
 		names = nil
 	}
-	setOuts(&s.Outs, o.Kind, names)
+	setOuts(&s.OutOfService, o.Kind, names)
 	return s.accept(c, v)
 }
 
@@ -187,11 +187,11 @@
 			return fmt.Sprintf("it was written before the configuration was published anew at %d", s.Anew)
 		}
 	}
-	if !o.Out || s.Out(o.Kind, o.Name) {
+	if !o.Out || s.IsOut(o.Kind, o.Name) {
 		return ""
 	}
-	if len(outsOf(&s.Outs, o.Kind)) >= MaxOuts {
-		return fmt.Sprintf("%d of this kind are out already; bring in those that no longer exist", MaxOuts)
+	if len(outsOf(&s.OutOfService, o.Kind)) >= MaxOutOfService {
+		return fmt.Sprintf("%d of this kind are out already; bring in those that no longer exist", MaxOutOfService)
 	}
 	switch o.Kind {
 	case recorder.TargetZone:
@@ -208,7 +208,7 @@
 		return ""
 	}
 	f := finder.Findings{}
-	f.Hintf(string(o.Kind)+" "+o.Name, o.Name, names, "is not in the manifest in force")
+	f.AddHintf(string(o.Kind)+" "+o.Name, o.Name, names, "is not in the manifest in force")
 	return f[0].String()
 }
 
--- a/library/folder/fleet_test.go
+++ b/library/folder/fleet_test.go
@@ -50,7 +50,7 @@
 	for at := max(from, f.start); at < f.end() && len(b.Records) < 3; at++ {
 		b.Records = append(b.Records, f.records[at-1])
 	}
-	steps, err := m.Take(from, b)
+	steps, err := m.Process(from, b)
 	assert.NilError(t, err)
 	for _, s := range steps {
 		f.check(t, s)
@@ -60,15 +60,15 @@
 // check holds a step against the witness: the state is the same at the same
 // offset, and neither the version nor the reading goes back.
 func (f *fleet) check(t *rapid.T, s folder.Step) {
-	assert.DeepEqual(t, s.After, f.states[s.After.Read])
-	if s.Found {
-		assert.Assert(t, s.After.Read+1 >= f.start, "records are lost between the state and the log")
+	assert.DeepEqual(t, s.After, f.states[s.After.LastOffset])
+	if s.Bootstrapped {
+		assert.Assert(t, s.After.LastOffset+1 >= f.start, "records are lost between the state and the log")
 	} else {
 		assert.DeepEqual(t, s.Verdict, f.verdicts[s.Record.Offset])
 	}
 	if s.Before != nil {
 		assert.Assert(t, s.After.Version >= s.Before.Version, "version %d after %d", s.After.Version, s.Before.Version)
-		assert.Assert(t, s.After.Read > s.Before.Read)
+		assert.Assert(t, s.After.LastOffset > s.Before.LastOffset)
 	}
 }
 
@@ -122,7 +122,7 @@
 func (f *fleet) checkpoint(t *rapid.T) {
 	m := rapid.SampledFrom(f.vms).Draw(t, "writer")
 	if m.State() != nil {
-		f.append(wrap(t, recorder.KindCheckpoint, folder.Store(*m.State())))
+		f.append(wrap(t, recorder.KindCheckpoint, folder.NewCheckpoint(*m.State())))
 	}
 }
 
@@ -130,13 +130,13 @@
 func (f *fleet) adopt(t *rapid.T) {
 	from := rapid.SampledFrom(f.vms).Draw(t, "from").State()
 	to := rapid.SampledFrom(f.vms).Draw(t, "to")
-	if from == nil || (to.State() != nil && from.Read <= to.State().Read) {
+	if from == nil || (to.State() != nil && from.LastOffset <= to.State().LastOffset) {
 		return
 	}
-	s, err := folder.Restore(folder.Store(*from))
+	s, err := folder.Restore(folder.NewCheckpoint(*from))
 	assert.NilError(t, err)
-	f.check(t, folder.Step{Before: to.State(), After: s, Verdict: f.verdicts[s.Read], Record: folder.Record{Offset: s.Read}})
-	to.Jump(s)
+	f.check(t, folder.Step{Before: to.State(), After: s, Verdict: f.verdicts[s.LastOffset], Record: folder.Record{Offset: s.LastOffset}})
+	to.SetState(s)
 }
 
 // Operators race, records repeat or are broken, the log drops old ones, and VMs
@@ -183,7 +183,7 @@
 		for range 4*len(f.records) + 10 {
 			f.step(t, m)
 		}
-		assert.Equal(t, m.State().Read, f.end()-1)
-		assert.Assert(t, m.State().Out(recorder.TargetZone, "b"))
+		assert.Equal(t, m.State().LastOffset, f.end()-1)
+		assert.Assert(t, m.State().IsOut(recorder.TargetZone, "b"))
 	}
 }
--- a/library/folder/folder.go
+++ b/library/folder/folder.go
@@ -51,23 +51,23 @@
 	Version uint64
 	// Manifest is the manifest in force, and Packed its TOML in the bytes that
 	// its publish carried.
-	Manifest checker.Manifest
-	Packed   []byte
+	Manifest     checker.Manifest
+	ManifestData []byte
 	// Digest is the SHA-256 of the TOML in hex; empty without a manifest.
 	Digest string
-	// Outs are the names out of service.
-	Outs recorder.Outs
-	// Read is the last offset that was read.
-	Read uint64
+	// OutOfService are the names out of service.
+	OutOfService recorder.OutOfService
+	// LastOffset is the last offset that was read.
+	LastOffset uint64
 	// Anew is the offset of the last publish anew, 0 for none.
 	Anew uint64
 	// Audit is the end of the audit trail, oldest first, at most MaxAudit.
 	Audit []recorder.Change
 }
 
-// Out says whether an order holds a name out of service.
-func (s State) Out(kind recorder.Target, name string) bool {
-	_, out := outsOf(&s.Outs, kind)[name]
+// IsOut says whether an order holds a name out of service.
+func (s State) IsOut(kind recorder.Target, name string) bool {
+	_, out := outsOf(&s.OutOfService, kind)[name]
 	return out
 }
 
@@ -85,8 +85,8 @@
 	// also how far behind the end of the stream a record may land: within so
 	// many records, one that was appended twice is known by its ID.
 	MaxAudit = 256
-	// MaxOuts is how many names of each kind may be out of service.
-	MaxOuts = 500
+	// MaxOutOfService is how many names of each kind may be out of service.
+	MaxOutOfService = 500
 
 	// MaxWho and MaxWhy are the longest Who and Why of a record in bytes.
 	MaxWho = 64
@@ -105,7 +105,7 @@
 		found.Addf("line 1", "takes %d bytes packed, more than the %d allowed", len(packed), recorder.MaxManifest)
 		return s, found
 	}
-	source, err := recorder.Unpack(packed, checker.MaxBytes)
+	source, err := recorder.Decompress(packed, checker.MaxBytes)
 	if err != nil {
 		found.Addf("line 1", "can't be unpacked: %v", err)
 		return s, found
@@ -115,7 +115,7 @@
 		return s, found
 	}
 	sum := sha256.Sum256(source)
-	s.Version, s.Manifest, s.Packed = version, m, packed
+	s.Version, s.Manifest, s.ManifestData = version, m, packed
 	s.Digest = hex.EncodeToString(sum[:])
 	return s, nil
 }
@@ -138,7 +138,7 @@
 }
 
 // outsOf is the map of a kind, nil for an unknown kind.
-func outsOf(o *recorder.Outs, kind recorder.Target) map[string]uint64 {
+func outsOf(o *recorder.OutOfService, kind recorder.Target) map[string]uint64 {
 	switch kind {
 	case recorder.TargetVM:
 		return o.VMs
@@ -151,7 +151,7 @@
 	}
 }
 
-func setOuts(o *recorder.Outs, kind recorder.Target, names map[string]uint64) {
+func setOuts(o *recorder.OutOfService, kind recorder.Target, names map[string]uint64) {
 	switch kind {
 	case recorder.TargetVM:
 		o.VMs = names
--- a/library/folder/folder_test.go
+++ b/library/folder/folder_test.go
@@ -32,7 +32,7 @@
 }
 
 func packed(t assert.TestingT, source []byte) []byte {
-	data, err := recorder.Pack(source)
+	data, err := recorder.Compress(source)
 	assert.NilError(t, err)
 	return wrap(t, recorder.KindPublish, recorder.Publish{Manifest: data, Who: "kim", ID: "p"})
 }
@@ -65,28 +65,28 @@
 		{"next publish", [][]byte{first, publish(t, 1, "p2")}, folder.Accepted, "", 2},
 		{"racing publish", [][]byte{first, publish(t, 1, "p2"), publish(t, 1, "p3")}, folder.Refused, "it builds on version 1, and version 2 is in force", 2},
 		{"base ahead", [][]byte{publish(t, 7, "p1")}, folder.Refused, "it builds on version 7", 0},
-		{"the same record twice", [][]byte{first, first}, folder.Ignored, folder.ReasonTwice, 1},
+		{"the same record twice", [][]byte{first, first}, folder.Ignored, folder.ReasonDuplicate, 1},
 		{"findings", [][]byte{wrap(t, recorder.KindPublish, recorder.Publish{Manifest: []byte("seats = 0"), Who: "kim", ID: "p"})}, folder.Refused, "1 findings, first seats: is 0", 0},
 		{"empty manifest", [][]byte{wrap(t, recorder.KindPublish, recorder.Publish{Who: "kim", ID: "p"})}, folder.Refused, "1 findings, first line 1: is empty", 0},
 		{"packed", [][]byte{packed(t, manifest(2))}, folder.Accepted, "", 1},
 		{"packed badly", [][]byte{wrap(t, recorder.KindPublish, recorder.Publish{Manifest: []byte("\x1f\x8b\b\x00"), Who: "kim", ID: "p"})}, folder.Refused, "can't be unpacked", 0},
 		{"unpacks to gigabytes", [][]byte{packed(t, make([]byte, checker.MaxBytes+1))}, folder.Refused, "it unpacks to more than is allowed", 0},
 		{"too long", [][]byte{wrap(t, recorder.KindPublish, recorder.Publish{Manifest: make([]byte, recorder.MaxManifest+1), Who: "kim", ID: "p"})}, folder.Refused, "takes 786433 bytes packed", 0},
-		{"nobody", [][]byte{wrap(t, recorder.KindPublish, recorder.Publish{Manifest: manifest(1), ID: "p"})}, folder.Ignored, folder.ReasonBroken, 0},
-		{"forged line", [][]byte{wrap(t, recorder.KindPublish, recorder.Publish{Manifest: manifest(1), Who: "kim\nlee", ID: "p"})}, folder.Ignored, folder.ReasonBroken, 0},
-		{"bytes", [][]byte{first, []byte("\xff\x00hello")}, folder.Ignored, folder.ReasonBroken, 1},
-		{"empty", [][]byte{first, nil}, folder.Ignored, folder.ReasonBroken, 1},
+		{"nobody", [][]byte{wrap(t, recorder.KindPublish, recorder.Publish{Manifest: manifest(1), ID: "p"})}, folder.Ignored, folder.ReasonMalformed, 0},
+		{"forged line", [][]byte{wrap(t, recorder.KindPublish, recorder.Publish{Manifest: manifest(1), Who: "kim\nlee", ID: "p"})}, folder.Ignored, folder.ReasonMalformed, 0},
+		{"bytes", [][]byte{first, []byte("\xff\x00hello")}, folder.Ignored, folder.ReasonMalformed, 1},
+		{"empty", [][]byte{first, nil}, folder.Ignored, folder.ReasonMalformed, 1},
 		{"unknown kind", [][]byte{first, wrap(t, "later", 5)}, folder.Ignored, `the kind "later" is not known`, 1},
-		{"wrong body", [][]byte{wrap(t, recorder.KindPublish, "x")}, folder.Ignored, folder.ReasonBroken, 0},
-		{"checkpoint", [][]byte{first, wrap(t, recorder.KindCheckpoint, recorder.Checkpoint{})}, folder.Ignored, folder.ReasonStored, 1},
+		{"wrong body", [][]byte{wrap(t, recorder.KindPublish, "x")}, folder.Ignored, folder.ReasonMalformed, 0},
+		{"checkpoint", [][]byte{first, wrap(t, recorder.KindCheckpoint, recorder.Checkpoint{})}, folder.Ignored, folder.ReasonCheckpoint, 1},
 		{"zone out", [][]byte{first, zoneOut}, folder.Accepted, "", 1},
 		{"zone unknown", [][]byte{first, order(t, recorder.TargetZone, "c", true, "o")}, folder.Refused, "zone c: is not in the manifest in force", 1},
 		{"zone without manifest", [][]byte{zoneOut}, folder.Refused, "is not in the manifest", 0},
 		{"upstream hint", [][]byte{first, order(t, recorder.TargetUpstream, "v", true, "o")}, folder.Refused, "did you mean u?", 1},
 		{"VM out", [][]byte{order(t, recorder.TargetVM, "entry-1", true, "o")}, folder.Accepted, "", 0},
 		{"in without out", [][]byte{first, order(t, recorder.TargetZone, "a", false, "o")}, folder.Accepted, "", 1},
-		{"unknown target", [][]byte{order(t, "rack", "r", true, "o")}, folder.Ignored, folder.ReasonBroken, 0},
-		{"bad name", [][]byte{order(t, recorder.TargetVM, "Entry 1", true, "o")}, folder.Ignored, folder.ReasonBroken, 0},
+		{"unknown target", [][]byte{order(t, "rack", "r", true, "o")}, folder.Ignored, folder.ReasonMalformed, 0},
+		{"bad name", [][]byte{order(t, recorder.TargetVM, "Entry 1", true, "o")}, folder.Ignored, folder.ReasonMalformed, 0},
 		{"anew", [][]byte{first, wrap(t, recorder.KindPublish, recorder.Publish{Base: 2, Anew: true, Manifest: manifest(4), Who: "kim", ID: "p2"})}, folder.Accepted, "", 2},
 		{"anew ahead", [][]byte{first, wrap(t, recorder.KindPublish, recorder.Publish{Base: 3, Anew: true, Manifest: manifest(4), Who: "kim", ID: "p2"})}, folder.Refused, "it was written when the stream ended at 3", 1},
 	} {
@@ -95,7 +95,7 @@
 			assert.Equal(t, v.Outcome, c.outcome, v.Reason)
 			assert.Assert(t, strings.Contains(v.Reason, c.reason), v.Reason)
 			assert.Equal(t, s.Version, c.version)
-			assert.Equal(t, s.Read, uint64(len(c.records)))
+			assert.Equal(t, s.LastOffset, uint64(len(c.records)))
 		})
 	}
 }
@@ -110,7 +110,7 @@
 	old := wrap(t, recorder.KindOrder, recorder.Order{Kind: "zone", Name: "a", Out: true, Base: 2, Who: "kim", ID: "o0"})
 	s, v := fold(append(records, old)...)
 	assert.Equal(t, v.Outcome, folder.Refused)
-	assert.Assert(t, !s.Out(recorder.TargetZone, "a"))
+	assert.Assert(t, !s.IsOut(recorder.TargetZone, "a"))
 	assert.Equal(t, len(s.Audit), folder.MaxAudit)
 }
 
@@ -121,7 +121,7 @@
 	anew := wrap(t, recorder.KindPublish, recorder.Publish{Base: 3, Anew: true, Manifest: manifest(4), Who: "kim", ID: "p2"})
 	s, v := fold(publish(t, 0, "p1"), out, anew, out)
 	assert.Equal(t, v.Outcome, folder.Refused)
-	assert.Assert(t, !s.Out(recorder.TargetZone, "a"))
+	assert.Assert(t, !s.IsOut(recorder.TargetZone, "a"))
 	_, v = fold(publish(t, 0, "p1"), out, anew,
 		wrap(t, recorder.KindOrder, recorder.Order{Kind: "zone", Name: "a", Out: true, Base: 4, Who: "kim", ID: "o2"}))
 	assert.Equal(t, v.Outcome, folder.Accepted, v.Reason)
@@ -133,8 +133,8 @@
 	out := order(t, recorder.TargetZone, "a", true, "o1")
 	s, _ := fold(publish(t, 0, "p1"), out, order(t, recorder.TargetZone, "a", false, "o2"))
 	for offset, reason := range map[uint64]string{
-		0: folder.ReasonBack, 2: folder.ReasonBack, 3: folder.ReasonBack,
-		5: folder.ReasonGap, math.MaxUint64: folder.ReasonGap,
+		0: folder.ReasonOldOffset, 2: folder.ReasonOldOffset, 3: folder.ReasonOldOffset,
+		5: folder.ReasonOffsetGap, math.MaxUint64: folder.ReasonOffsetGap,
 	} {
 		after, v := folder.Apply(s, folder.Record{Offset: offset, Data: out})
 		assert.Equal(t, v.Outcome, folder.Ignored)
@@ -145,15 +145,15 @@
 
 func TestFound(t *testing.T) {
 	s, _ := fold(publish(t, 0, "p1"), order(t, recorder.TargetZone, "a", true, "o1"))
-	stored := folder.Store(s)
+	stored := folder.NewCheckpoint(s)
 	with := func(change func(*recorder.Checkpoint)) recorder.Checkpoint {
 		c := stored
-		c.Outs.Zones = maps.Clone(stored.Outs.Zones)
+		c.OutOfService.Zones = maps.Clone(stored.OutOfService.Zones)
 		c.Audit = append([]recorder.Change(nil), stored.Audit...)
 		change(&c)
 		return c
 	}
-	newer := folder.State{Read: 2}
+	newer := folder.State{LastOffset: 2}
 	for _, c := range []struct {
 		name   string
 		old    *folder.State
@@ -171,14 +171,14 @@
 		{"version without manifest", nil, 3, 9, with(func(c *recorder.Checkpoint) { c.Manifest = nil }), false},
 		{"manifest without version", nil, 3, 9, with(func(c *recorder.Checkpoint) { c.Version = 0 }), false},
 		{"bad manifest", nil, 3, 9, with(func(c *recorder.Checkpoint) { c.Manifest = []byte("seats = 0") }), false},
-		{"out by a later order", nil, 3, 9, with(func(c *recorder.Checkpoint) { c.Outs.Zones["a"] = 3 }), false},
-		{"bad name out", nil, 3, 9, with(func(c *recorder.Checkpoint) { c.Outs.Zones["A B"] = 2 }), false},
+		{"out by a later order", nil, 3, 9, with(func(c *recorder.Checkpoint) { c.OutOfService.Zones["a"] = 3 }), false},
+		{"bad name out", nil, 3, 9, with(func(c *recorder.Checkpoint) { c.OutOfService.Zones["A B"] = 2 }), false},
 		{"trail out of order", nil, 3, 9, with(func(c *recorder.Checkpoint) { c.Audit[1].Offset = 1 }), false},
 		{"forged trail", nil, 3, 9, with(func(c *recorder.Checkpoint) { c.Audit[1].Who = "a\nb" }), false},
-		{"read at the last number", nil, 3, 9, with(func(c *recorder.Checkpoint) { c.Read = math.MaxUint64 }), false},
+		{"read at the last number", nil, 3, 9, with(func(c *recorder.Checkpoint) { c.LastOffset = math.MaxUint64 }), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, ok := folder.Found(c.old, c.start, c.start, folder.Record{Offset: c.offset, Data: wrap(t, recorder.KindCheckpoint, c.record)})
+			got, ok := folder.Bootstrap(c.old, c.start, c.start, folder.Record{Offset: c.offset, Data: wrap(t, recorder.KindCheckpoint, c.record)})
 			assert.Equal(t, ok, c.ok)
 			if ok {
 				assert.DeepEqual(t, got, s)
@@ -191,17 +191,17 @@
 // would lose its configuration one retention later.
 func TestLargestCheckpointFitsARecord(t *testing.T) {
 	c := recorder.Checkpoint{
-		Version: math.MaxUint64 - 1, Read: math.MaxUint64 - 1, Manifest: make([]byte, recorder.MaxManifest),
-		Outs: recorder.Outs{VMs: map[string]uint64{}, Zones: map[string]uint64{}, Upstreams: map[string]uint64{}},
+		Version: math.MaxUint64 - 1, LastOffset: math.MaxUint64 - 1, Manifest: make([]byte, recorder.MaxManifest),
+		OutOfService: recorder.OutOfService{VMs: map[string]uint64{}, Zones: map[string]uint64{}, Upstreams: map[string]uint64{}},
 	}
-	for i := range folder.MaxOuts {
+	for i := range folder.MaxOutOfService {
 		name := fmt.Sprintf("%040d", i)
-		c.Outs.VMs[name], c.Outs.Zones[name], c.Outs.Upstreams[name] = c.Read, c.Read, c.Read
+		c.OutOfService.VMs[name], c.OutOfService.Zones[name], c.OutOfService.Upstreams[name] = c.LastOffset, c.LastOffset, c.LastOffset
 	}
 	text := func(n int) string { return strings.Repeat("x", n) }
 	for range folder.MaxAudit {
 		c.Audit = append(c.Audit, recorder.Change{
-			Offset: c.Read, At: math.MaxInt64, Who: text(64), What: text(100), Reason: text(160), Why: text(160), ID: text(64),
+			Offset: c.LastOffset, At: math.MaxInt64, Who: text(64), What: text(100), Reason: text(160), Why: text(160), ID: text(64),
 		})
 	}
 	data := wrap(t, recorder.KindCheckpoint, c)
@@ -215,24 +215,24 @@
 	f.Add(packed(f, example))
 	f.Add(order(f, recorder.TargetZone, "a", true, "o1"))
 	base, _ := fold(publish(f, 0, "p1"))
-	f.Add(wrap(f, recorder.KindCheckpoint, folder.Store(base)))
-	f.Add(wrap(f, recorder.KindCheckpoint, recorder.Checkpoint{Read: 1, Outs: recorder.Outs{VMs: map[string]uint64{}}}))
+	f.Add(wrap(f, recorder.KindCheckpoint, folder.NewCheckpoint(base)))
+	f.Add(wrap(f, recorder.KindCheckpoint, recorder.Checkpoint{LastOffset: 1, OutOfService: recorder.OutOfService{VMs: map[string]uint64{}}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := folder.Record{Offset: 2, Data: data}
-		before := folder.Store(base)
-		if s, ok := folder.Found(nil, 1, 1, r); ok {
-			again, err := folder.Restore(folder.Store(s))
+		before := folder.NewCheckpoint(base)
+		if s, ok := folder.Bootstrap(nil, 1, 1, r); ok {
+			again, err := folder.Restore(folder.NewCheckpoint(s))
 			assert.NilError(t, err)
 			assert.DeepEqual(t, again, s)
 		}
 		s, v := folder.Apply(base, r)
-		assert.DeepEqual(t, folder.Store(base), before)
+		assert.DeepEqual(t, folder.NewCheckpoint(base), before)
 		if v.Outcome == folder.Ignored {
-			s.Read = base.Read
+			s.LastOffset = base.LastOffset
 			assert.DeepEqual(t, s, base)
 			return
 		}
-		again, err := folder.Restore(folder.Store(s))
+		again, err := folder.Restore(folder.NewCheckpoint(s))
 		assert.NilError(t, err)
 		assert.DeepEqual(t, again, s)
 	})
--- a/library/folder/found.go
+++ b/library/folder/found.go
@@ -12,19 +12,19 @@
 // ErrRestore is the class of checkpoints that can't be a state.
 var ErrRestore = errs.Class("checkpoint")
 
-// Store returns the checkpoint of a state.
-func Store(s State) recorder.Checkpoint {
+// NewCheckpoint returns the checkpoint of a state.
+func NewCheckpoint(s State) recorder.Checkpoint {
 	return recorder.Checkpoint{
-		Version: s.Version, Manifest: s.Packed, Outs: s.Outs, Read: s.Read, Anew: s.Anew, Audit: s.Audit,
+		Version: s.Version, Manifest: s.ManifestData, OutOfService: s.OutOfService, LastOffset: s.LastOffset, Anew: s.Anew, Audit: s.Audit,
 	}
 }
 
 // Restore returns the state of a checkpoint. It reads the manifest again and
 // checks every bound, because the checkpoint may come from a broken writer.
 func Restore(c recorder.Checkpoint) (State, error) {
-	s := State{Outs: c.Outs, Read: c.Read, Anew: c.Anew, Audit: c.Audit}
-	if c.Version > c.Read || c.Read == math.MaxUint64 {
-		return State{}, ErrRestore.New("version %d, read up to %d", c.Version, c.Read)
+	s := State{OutOfService: c.OutOfService, LastOffset: c.LastOffset, Anew: c.Anew, Audit: c.Audit}
+	if c.Version > c.LastOffset || c.LastOffset == math.MaxUint64 {
+		return State{}, ErrRestore.New("version %d, read up to %d", c.Version, c.LastOffset)
 	}
 	if c.Anew > c.Version {
 		return State{}, ErrRestore.New("published anew at %d, version %d", c.Anew, c.Version)
@@ -33,12 +33,12 @@
 		return State{}, ErrRestore.New("version %d with a manifest of %d bytes", c.Version, len(c.Manifest))
 	}
 	for _, kind := range []recorder.Target{recorder.TargetVM, recorder.TargetZone, recorder.TargetUpstream} {
-		names := outsOf(&s.Outs, kind)
-		if err := restorable(names, c.Read); err != nil {
+		names := outsOf(&s.OutOfService, kind)
+		if err := restorable(names, c.LastOffset); err != nil {
 			return State{}, err
 		}
 		if len(names) == 0 {
-			setOuts(&s.Outs, kind, nil)
+			setOuts(&s.OutOfService, kind, nil)
 		}
 	}
 	if err := trail(c); err != nil {
@@ -52,8 +52,8 @@
 }
 
 func restorable(names map[string]uint64, read uint64) error {
-	if len(names) > MaxOuts {
-		return ErrRestore.New("%d names out, at most %d", len(names), MaxOuts)
+	if len(names) > MaxOutOfService {
+		return ErrRestore.New("%d names out, at most %d", len(names), MaxOutOfService)
 	}
 	for name, offset := range names {
 		if !checker.ValidName(name) || offset == 0 || offset > read {
@@ -69,8 +69,8 @@
 	}
 	var last uint64
 	for _, a := range c.Audit {
-		if a.Offset <= last || a.Offset > c.Read {
-			return ErrRestore.New("change of offset %d after %d, read up to %d", a.Offset, last, c.Read)
+		if a.Offset <= last || a.Offset > c.LastOffset {
+			return ErrRestore.New("change of offset %d after %d, read up to %d", a.Offset, last, c.LastOffset)
 		}
 		last = a.Offset
 		if !plain(a.Who, MaxWho) || !plain(a.What, maxWhat) || !id(a.ID) ||
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Found tries to found a state on one record, for a reader that can't go on
+// Bootstrap tries to found a state on one record, for a reader that can't go on
 // from its own: it has none, or the log has dropped records that it has not
 // read. Start is the first offset that the log still keeps, and looked the one
 // from which on the reader has looked at every record. The reader goes on after
@@ -94,9 +94,9 @@
 // of it is told from the first.
 //
 // A reader that has a state passes it as old, and only ever moves forward.
-func Found(old *State, start, looked uint64, r Record) (State, bool) {
+func Bootstrap(old *State, start, looked uint64, r Record) (State, bool) {
 	s, ok := founded(start, looked, r)
-	if !ok || (old != nil && (s.Read <= old.Read || s.Version < old.Version)) {
+	if !ok || (old != nil && (s.LastOffset <= old.LastOffset || s.Version < old.Version)) {
 		return State{}, false
 	}
 	return s, true
@@ -110,7 +110,7 @@
 	switch kind {
 	case recorder.KindCheckpoint:
 		c, err := recorder.Unwrap[recorder.Checkpoint](r.Data)
-		if err != nil || c.Read+1 < start || c.Read >= r.Offset {
+		if err != nil || c.LastOffset+1 < start || c.LastOffset >= r.Offset {
 			return State{}, false
 		}
 		s, err := Restore(c)
@@ -120,7 +120,7 @@
 		if err != nil || !p.Anew || p.Base < looked {
 			return State{}, false
 		}
-		s, v := Apply(State{Read: r.Offset - 1}, r)
+		s, v := Apply(State{LastOffset: r.Offset - 1}, r)
 		return s, v.Outcome == Accepted
 	default:
 		return State{}, false
--- a/library/folder/reader.go
+++ b/library/folder/reader.go
@@ -2,9 +2,9 @@
 
 import "github.com/zeebo/errs"
 
-// ErrBack is the class of answers of a log that ends before what has been read
+// ErrLogTruncated is the class of answers of a log that ends before what has been read
 // of it. Its records would be taken for later ones than those read before.
-var ErrBack = errs.Class("log went back")
+var ErrLogTruncated = errs.Class("log went back")
 
 // A Batch is an answer of the log: Start is the first offset that it still
 // keeps, End the next one to be given, and Records are in the order of offsets.
@@ -20,16 +20,16 @@
 	Before *State
 	// After is the state after it.
 	After State
-	// Found says that After was founded on the record. Else Verdict is that
+	// Bootstrapped says that After was founded on the record. Else Verdict is that
 	// of Apply.
-	Found   bool
-	Verdict Verdict
+	Bootstrapped bool
+	Verdict      Verdict
 }
 
-// Window is how many records back from the end a reader first looks for a
+// CheckpointWindow is how many records back from the end a reader first looks for a
 // checkpoint. VMs write one at least so often, so that to start costs about so
 // many records, however many the log keeps.
-const Window = 64
+const CheckpointWindow = 64
 
 // widen is how much further back each look goes where the one before has found
 // none.
@@ -56,35 +56,35 @@
 // State is the state folded so far, nil where there is none.
 func (r *Reader) State() *State { return r.state }
 
-// Gap says that there is a state, and that the log dropped records after it
+// HasGap says that there is a state, and that the log dropped records after it
 // before they were read.
-func (r *Reader) Gap() bool { return r.gap }
+func (r *Reader) HasGap() bool { return r.gap }
 
 // Next is the offset to read from.
 func (r *Reader) Next() uint64 {
 	if r.state != nil && !r.gap {
-		return r.state.Read + 1
+		return r.state.LastOffset + 1
 	}
 	return max(r.search, 1)
 }
 
-// Jump goes on from a state that came from elsewhere.
-func (r *Reader) Jump(s State) { *r = Reader{window: r.window, state: &s} }
+// SetState goes on from a state that came from elsewhere.
+func (r *Reader) SetState(s State) { *r = Reader{window: r.window, state: &s} }
 
-// Take folds the answer to a read from an offset on, and returns what each
+// Process folds the answer to a read from an offset on, and returns what each
 // record did. An answer to a read from elsewhere than Next is left out, since
 // the state has jumped meanwhile. The error is of the class ErrBack.
-func (r *Reader) Take(from uint64, b Batch) ([]Step, error) {
+func (r *Reader) Process(from uint64, b Batch) ([]Step, error) {
 	if from != r.Next() {
 		return nil, nil
 	}
 	if r.state == nil && !r.begin(b) {
 		return nil, nil
 	}
-	if r.state != nil && b.End <= r.state.Read {
-		return nil, ErrBack.New("it ends at %d, and %d has been read", b.End, r.state.Read)
+	if r.state != nil && b.End <= r.state.LastOffset {
+		return nil, ErrLogTruncated.New("it ends at %d, and %d has been read", b.End, r.state.LastOffset)
 	}
-	if r.state == nil || b.Start > r.state.Read+1 {
+	if r.state == nil || b.Start > r.state.LastOffset+1 {
 		return r.seek(b), nil
 	}
 	r.gap, r.lost, r.search = false, false, 0
@@ -129,10 +129,10 @@
 			continue
 		}
 		r.search = record.Offset + 1
-		if s, ok := Found(r.state, b.Start, max(b.Start, r.low), record); ok {
+		if s, ok := Bootstrap(r.state, b.Start, max(b.Start, r.low), record); ok {
 			before := r.state
-			r.Jump(s)
-			return []Step{{Record: record, Before: before, After: s, Found: true}}
+			r.SetState(s)
+			return []Step{{Record: record, Before: before, After: s, Bootstrapped: true}}
 		}
 	}
 	r.lost = r.search >= b.End && (r.gap || r.low <= b.Start)
@@ -144,6 +144,6 @@
 	return nil
 }
 
-// Lost says that there is no state to go on from, and that everything the log
+// Exhausted says that there is no state to go on from, and that everything the log
 // keeps has been looked through for one.
-func (r *Reader) Lost() bool { return r.lost }
+func (r *Reader) Exhausted() bool { return r.lost }
--- a/library/folder/reader_test.go
+++ b/library/folder/reader_test.go
@@ -26,9 +26,9 @@
 			b.Records = append(b.Records, folder.Record{Offset: at, Data: l.records[at-1]})
 		}
 		l.given += len(b.Records)
-		_, err := r.Take(from, b)
+		_, err := r.Process(from, b)
 		assert.NilError(t, err)
-		if r.Lost() || (r.State() != nil && r.State().Read+1 >= end) {
+		if r.Exhausted() || (r.State() != nil && r.State().LastOffset+1 >= end) {
 			return
 		}
 	}
@@ -47,26 +47,26 @@
 		s, _ = folder.Apply(s, folder.Record{Offset: uint64(i + 1), Data: data})
 	}
 	// No checkpoint yet: each look goes further back, at last to the first.
-	whole := folder.NewReader(folder.Window)
+	whole := folder.NewReader(folder.CheckpointWindow)
 	l.read(t, whole, 1)
 	assert.Equal(t, whole.State().Version, uint64(1))
-	assert.DeepEqual(t, whole.State().Outs, s.Outs)
-	lost := folder.NewReader(folder.Window)
+	assert.DeepEqual(t, whole.State().OutOfService, s.OutOfService)
+	lost := folder.NewReader(folder.CheckpointWindow)
 	l.read(t, lost, 2)
-	assert.Assert(t, lost.Lost())
+	assert.Assert(t, lost.Exhausted())
 
-	l.records = append(l.records, wrap(t, recorder.KindCheckpoint, folder.Store(s)))
+	l.records = append(l.records, wrap(t, recorder.KindCheckpoint, folder.NewCheckpoint(s)))
 	for i := range 30 {
 		l.records = append(l.records, order(t, recorder.TargetVM, "entry-1", i%2 == 0, fmt.Sprint("v", i)))
 	}
 	l.read(t, whole, 1)
 	l.given = 0
-	near := folder.NewReader(folder.Window)
+	near := folder.NewReader(folder.CheckpointWindow)
 	l.read(t, near, 1)
-	assert.Assert(t, l.given <= 3*folder.Window, "%d records read", l.given)
-	assert.Equal(t, near.State().Read, whole.State().Read)
+	assert.Assert(t, l.given <= 3*folder.CheckpointWindow, "%d records read", l.given)
+	assert.Equal(t, near.State().LastOffset, whole.State().LastOffset)
 	assert.DeepEqual(t, near.State().Audit[255], whole.State().Audit[255])
 	// One that was lost before goes on once a checkpoint is there.
 	l.read(t, lost, 2)
-	assert.Equal(t, lost.State().Read, whole.State().Read)
+	assert.Equal(t, lost.State().LastOffset, whole.State().LastOffset)
 }
--- a/library/recorder/calls.go
+++ b/library/recorder/calls.go
@@ -1,20 +1,20 @@
 package recorder
 
-// Calls is the stream that decides which attempt of a keyed call runs.
-const Calls = "calls"
+// CallStream is the stream that decides which attempt of a keyed call runs.
+const CallStream = "calls"
 
 // KindCalls is the kind of the records of the stream Calls; each is a
 // CallBatch.
 const KindCalls = "calls"
 
 const (
-	// MostCalls bounds the entries of one record.
-	MostCalls = 256
+	// MaxCalls bounds the entries of one record.
+	MaxCalls = 256
 	// maxOutcome bounds an outcome's body in bytes, with a margin above what
 	// VMs keep.
 	maxOutcome = 64 << 10
-	// MostHeaders bounds an outcome's headers.
-	MostHeaders = 32
+	// MaxHeaders bounds an outcome's headers.
+	MaxHeaders = 32
 )
 
 // A Hash is the first half of a SHA-256.
@@ -74,8 +74,8 @@
 	if err != nil {
 		return CallBatch{}, err
 	}
-	if len(b.Calls) > MostCalls {
-		return CallBatch{}, ErrDecode.New("%d calls, at most %d", len(b.Calls), MostCalls)
+	if len(b.Calls) > MaxCalls {
+		return CallBatch{}, ErrDecode.New("%d calls, at most %d", len(b.Calls), MaxCalls)
 	}
 	for i, c := range b.Calls {
 		if err := c.check(); err != nil {
@@ -98,9 +98,9 @@
 	if c.Attempt.VM == "" || len(c.Attempt.VM) > maxKind {
 		return ErrDecode.New("attempt.vm has %d bytes, expected 1 to %d", len(c.Attempt.VM), maxKind)
 	}
-	if o := c.Outcome; o != nil && (len(o.Body) > maxOutcome || len(o.Header) > MostHeaders) {
+	if o := c.Outcome; o != nil && (len(o.Body) > maxOutcome || len(o.Header) > MaxHeaders) {
 		return ErrDecode.New("outcome has %d bytes and %d headers, at most %d and %d",
-			len(o.Body), len(o.Header), maxOutcome, MostHeaders)
+			len(o.Body), len(o.Header), maxOutcome, MaxHeaders)
 	}
 	return nil
 }
--- a/library/recorder/claims.go
+++ b/library/recorder/claims.go
@@ -1,9 +1,9 @@
 package recorder
 
-// Claims is the stream of claims, and KindClaim the kind of its records.
+// ClaimStream is the stream of claims, and KindClaim the kind of its records.
 const (
-	Claims    = "claims"
-	KindClaim = "claim"
+	ClaimStream = "claims"
+	KindClaim   = "claim"
 )
 
 // A Claim says that one VM's process holds upstreams and seats from this
--- a/library/recorder/config.go
+++ b/library/recorder/config.go
@@ -65,8 +65,8 @@
 	Why string `cbor:"why,omitempty"`
 }
 
-// Outs are the names out of service, each with the offset of its order.
-type Outs struct {
+// OutOfService are the names out of service, each with the offset of its order.
+type OutOfService struct {
 	VMs       map[string]uint64 `cbor:"vms,omitempty" json:"vms"`
 	Zones     map[string]uint64 `cbor:"zones,omitempty" json:"zones"`
 	Upstreams map[string]uint64 `cbor:"upstreams,omitempty" json:"upstreams"`
@@ -96,10 +96,10 @@
 	// Version is the offset of the publish in force, 0 for none.
 	Version uint64 `cbor:"version"`
 	// Manifest is that version's, in the bytes that its publish carried.
-	Manifest []byte `cbor:"manifest"`
-	Outs     Outs   `cbor:"outs"`
-	// Read is the last offset that the writer had read.
-	Read uint64 `cbor:"read"`
+	Manifest     []byte       `cbor:"manifest"`
+	OutOfService OutOfService `cbor:"outs"`
+	// LastOffset is the last offset that the writer had read.
+	LastOffset uint64 `cbor:"read"`
 	// Anew is the offset of the last publish anew, 0 for none.
 	Anew uint64 `cbor:"anew,omitempty"`
 	// Audit is the end of the audit trail, oldest first.
--- a/library/recorder/packer.go
+++ b/library/recorder/packer.go
@@ -10,9 +10,9 @@
 // magic begins gzip data. TOML can't begin with it.
 var magic = []byte{0x1f, 0x8b}
 
-// Pack makes a manifest shorter. A manifest of thousands of upstreams repeats
+// Compress makes a manifest shorter. A manifest of thousands of upstreams repeats
 // itself, and would otherwise not fit into a record.
-func Pack(source []byte) ([]byte, error) {
+func Compress(source []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestCompression)
 	if err != nil {
@@ -27,10 +27,10 @@
 	return b.Bytes(), nil
 }
 
-// Unpack returns the manifest that Pack packed, of at most limit bytes; what is
+// Decompress returns the manifest that Pack packed, of at most limit bytes; what is
 // not packed is returned as it is. A hostile record of a kilobyte may otherwise
 // unpack to a thousand times as much, and take a small VM's memory.
-func Unpack(packed []byte, limit int) ([]byte, error) {
+func Decompress(packed []byte, limit int) ([]byte, error) {
 	if !bytes.HasPrefix(packed, magic) {
 		return packed, nil
 	}
--- a/library/recorder/quarantine.go
+++ b/library/recorder/quarantine.go
@@ -1,10 +1,10 @@
 package recorder
 
-// Quarantine is the stream of requests that crash whoever runs them, and
+// QuarantineStream is the stream of requests that crash whoever runs them, and
 // KindQuarantine the kind of its records.
 const (
-	Quarantine     = "quarantine"
-	KindQuarantine = "quarantine"
+	QuarantineStream = "quarantine"
+	KindQuarantine   = "quarantine"
 )
 
 // A QuarantineRecord is what one VM knows of some requests, in VMs' own encoding,
--- a/operator/changer/changer.go
+++ b/operator/changer/changer.go
@@ -54,7 +54,7 @@
 func New(log Log, limit time.Duration) *Changer {
 	return &Changer{
 		log: log, limit: limit,
-		reader: folder.NewReader(folder.Window), verdicts: map[string]folder.Verdict{},
+		reader: folder.NewReader(folder.CheckpointWindow), verdicts: map[string]folder.Verdict{},
 	}
 }
 
@@ -85,9 +85,9 @@
 		}
 		s := c.reader.State()
 		switch {
-		case s != nil && !c.reader.Gap() && s.Read+1 >= c.end:
+		case s != nil && !c.reader.HasGap() && s.LastOffset+1 >= c.end:
 			return *s, c.end, nil
-		case c.reader.Lost():
+		case c.reader.Exhausted():
 			return folder.State{}, c.end, ErrLost.New("the log keeps neither the first record nor a checkpoint")
 		}
 	}
@@ -104,7 +104,7 @@
 	for _, r := range b.Records {
 		records = append(records, folder.Record(r))
 	}
-	steps, err := c.reader.Take(from, folder.Batch{Start: b.Start, End: b.End, Records: records})
+	steps, err := c.reader.Process(from, folder.Batch{Start: b.Start, End: b.End, Records: records})
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 // accepted once, and ignored after. Where the state was found on a checkpoint
 // that some VM wrote after the record, only the audit trail has the verdict.
 func (c *Changer) note(s folder.Step) {
-	if !s.Found {
+	if !s.Bootstrapped {
 		c.keep(s.Verdict)
 		return
 	}
@@ -155,7 +155,7 @@
 			return result, nil
 		}
 		if offset != 0 && c.judged(offset) {
-			result.Outcome, result.Reason = folder.Refused, folder.ReasonBroken
+			result.Outcome, result.Reason = folder.Refused, folder.ReasonMalformed
 			return result, nil
 		}
 		if ctx.Err() != nil {
@@ -172,7 +172,7 @@
 // was, and has left no verdict under its ID, could not be read.
 func (c *Changer) judged(offset uint64) bool {
 	s := c.reader.State()
-	return s != nil && s.Read >= offset
+	return s != nil && s.LastOffset >= offset
 }
 
 // append appends until the log takes it, or what became of it is unknown.
--- a/operator/commander/answers.go
+++ b/operator/commander/answers.go
@@ -87,12 +87,12 @@
 type standing struct {
 	// Version, Digest and Outs are those in force by the log; Log says why
 	// they could not be read.
-	Version uint64        `json:"version"`
-	Digest  string        `json:"digest,omitempty"`
-	Outs    recorder.Outs `json:"outs"`
-	Read    uint64        `json:"read"`
-	Log     string        `json:"log,omitempty"`
-	VMs     []vm          `json:"vms,omitempty"`
+	Version uint64                `json:"version"`
+	Digest  string                `json:"digest,omitempty"`
+	Outs    recorder.OutOfService `json:"outs"`
+	Read    uint64                `json:"read"`
+	Log     string                `json:"log,omitempty"`
+	VMs     []vm                  `json:"vms,omitempty"`
 }
 
 // vm is what a VM says of itself, and what is wrong with it.
--- a/operator/commander/commander.go
+++ b/operator/commander/commander.go
@@ -143,7 +143,7 @@
 	if err != nil {
 		return code(err), err
 	}
-	packed, err := recorder.Pack(data)
+	packed, err := recorder.Compress(data)
 	if err != nil {
 		return Usage, err
 	}
@@ -215,7 +215,7 @@
 		return
 	}
 	var found finder.Findings
-	found.Hintf("vm "+c.name, c.name, names, "is not on the platform's list")
+	found.AddHintf("vm "+c.name, c.name, names, "is not on the platform's list")
 	fmt.Fprintln(c.bad, "vanectl: warning:", found[0])
 }
 
--- a/operator/commander/log_test.go
+++ b/operator/commander/log_test.go
@@ -88,7 +88,7 @@
 	for i, data := range l.records {
 		s, _ = folder.Apply(s, folder.Record{Offset: uint64(i + 1), Data: data})
 	}
-	data, err := recorder.Wrap(recorder.KindCheckpoint, folder.Store(s))
+	data, err := recorder.Wrap(recorder.KindCheckpoint, folder.NewCheckpoint(s))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
--- a/operator/commander/status.go
+++ b/operator/commander/status.go
@@ -23,7 +23,7 @@
 	}
 	exit := Done
 	s, _, err := ch.Current(ctx)
-	answer := standing{Version: s.Version, Digest: s.Digest, Outs: s.Outs, Read: s.Read}
+	answer := standing{Version: s.Version, Digest: s.Digest, Outs: s.OutOfService, Read: s.LastOffset}
 	if err != nil {
 		answer.Log, exit = err.Error(), code(err)
 	}
--- a/operator/commander/words.go
+++ b/operator/commander/words.go
@@ -63,18 +63,18 @@
 				i++
 			}
 		case !slices.Contains(plain, name):
-			found.Hintf(name, name, slices.Concat(valued, plain), "unknown flag")
+			found.AddHintf(name, name, slices.Concat(valued, plain), "unknown flag")
 		}
 	}
 	if len(bare) == 0 {
 		return found, bare
 	}
 	if !slices.Contains(commands, bare[0]) {
-		found.Hintf(bare[0], bare[0], commands, "unknown command")
+		found.AddHintf(bare[0], bare[0], commands, "unknown command")
 		return found, bare
 	}
 	if slices.Contains(directed, bare[0]) && len(bare) > 1 && !slices.Contains(directions, bare[1]) {
-		found.Hintf(bare[1], bare[1], directions, "is neither out nor in")
+		found.AddHintf(bare[1], bare[1], directions, "is neither out nor in")
 	}
 	return found, bare
 }
