--- a/entry/process/server/coordination.go
+++ b/entry/process/server/coordination.go
@@ -47,7 +47,7 @@
 // heartbeats.
 func (v *Server) readPosition() uint64 {
 	if s := v.follower.State(); s != nil {
-		return s.Read
+		return s.LastOffset
 	}
 	return 0
 }
--- a/entry/process/setter/checks.go
+++ b/entry/process/setter/checks.go
@@ -58,13 +58,13 @@
 
 func (c *validator) name(place, name string) {
 	if !checker.ValidName(name) {
-		c.findings.Addf(place, "%q is not 1 to 40 of a-z, 0-9 and -", decoder.Shown(name))
+		c.findings.Addf(place, "%q is not 1 to 40 of a-z, 0-9 and -", decoder.Truncate(name))
 	}
 }
 
 func (c *validator) address(place, address string) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		c.findings.Addf(place, "%q is not an IP address and port such as 10.0.0.7:8000", decoder.Shown(address))
+		c.findings.Addf(place, "%q is not an IP address and port such as 10.0.0.7:8000", decoder.Truncate(address))
 	}
 }
 
@@ -96,7 +96,7 @@
 func (c *validator) url(place, text string) {
 	u, err := url.Parse(text)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" || u.RawQuery != "" || u.User != nil {
-		c.findings.Addf(place, "%q is not a URL such as http://10.0.0.5:7000", decoder.Shown(text))
+		c.findings.Addf(place, "%q is not a URL such as http://10.0.0.5:7000", decoder.Truncate(text))
 	}
 }
 
@@ -127,8 +127,8 @@
 	for _, a := range allowed {
 		names = append(names, string(a))
 	}
-	c.findings.Hintf(place, string(value), names,
-		"is %q, none of %s", decoder.Shown(string(value)), strings.Join(names, ", "))
+	c.findings.AddHintf(place, string(value), names,
+		"is %q, none of %s", decoder.Truncate(string(value)), strings.Join(names, ", "))
 }
 
 // unreadableFiles reports the files named in the settings that cannot be read.
--- a/entry/version/follower/duty.go
+++ b/entry/version/follower/duty.go
@@ -54,22 +54,22 @@
 func (f *Follower) observeCheckpoint(start uint64, s folder.Step) {
 	r, before := s.Record, s.Before
 	c, err := recorder.Unwrap[recorder.Checkpoint](r.Data)
-	if err != nil || c.Read+maxCheckpointLag < r.Offset {
+	if err != nil || c.LastOffset+maxCheckpointLag < r.Offset {
 		return
 	}
-	if c.Read == before.Read && !matchesState(c, *before) {
+	if c.LastOffset == before.LastOffset && !matchesState(c, *before) {
 		f.counts.disagreed.Inc(1)
 		f.logger.Error().Uint64("offset", r.Offset).Msg("checkpoint differs from the local state at the same offset")
 		return
 	}
-	if _, ok := folder.Found(nil, start, start, r); ok {
+	if _, ok := folder.Bootstrap(nil, start, start, r); ok {
 		f.schedule.observe(f.ticker.Now(), r)
 	}
 }
 
 func matchesState(c recorder.Checkpoint, s folder.State) bool {
 	a, errA := recorder.Encode(c)
-	b, errB := recorder.Encode(folder.Store(s))
+	b, errB := recorder.Encode(folder.NewCheckpoint(s))
 	return errA == nil && errB == nil && bytes.Equal(a, b)
 }
 
@@ -81,11 +81,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state.Load()
-	if s == nil || s.Read == 0 || f.logTruncated || !f.atEnd {
+	if s == nil || s.LastOffset == 0 || f.logTruncated || !f.atEnd {
 		return false
 	}
 	expiring := now.Sub(f.schedule.writtenAt) >= retention(*s)/dueDivisor
-	distant := s.Read >= f.schedule.offset+folder.Window
+	distant := s.LastOffset >= f.schedule.offset+folder.CheckpointWindow
 	return (expiring || distant) && !now.Before(f.schedule.notBefore)
 }
 
--- a/entry/version/follower/follower.go
+++ b/entry/version/follower/follower.go
@@ -95,7 +95,7 @@
 	return &Follower{
 		log: log, ticker: t, logger: logger,
 		counts: newCounts(registry),
-		reader: folder.NewReader(folder.Window),
+		reader: folder.NewReader(folder.CheckpointWindow),
 		subs:   map[int]func(folder.State){},
 	}
 }
@@ -195,8 +195,8 @@
 // processBatch folds the response to a read that started at from.
 func (f *Follower) processBatch(from uint64, b appender.Batch) error {
 	f.lastReadEmpty = len(b.Records) == 0
-	gap := f.reader.Gap()
-	steps, err := f.reader.Take(from, folderBatch(b))
+	gap := f.reader.HasGap()
+	steps, err := f.reader.Process(from, folderBatch(b))
 	f.logTruncated = err != nil
 	if err != nil {
 		// The current state is kept, and no record is applied until an
@@ -204,9 +204,9 @@
 		f.counts.back.Inc(1)
 		return err
 	}
-	if f.reader.Gap() && !gap {
+	if f.reader.HasGap() && !gap {
 		f.counts.gaps.Inc(1)
-		f.logger.Warn().Uint64("read", f.reader.State().Read).Uint64("start", b.Start).
+		f.logger.Warn().Uint64("read", f.reader.State().LastOffset).Uint64("start", b.Start).
 			Msg("the log dropped unread records")
 	}
 	changed := false
@@ -214,7 +214,7 @@
 		changed = f.processStep(b.Start, s) || changed
 	}
 	s := f.reader.State()
-	f.atEnd = s != nil && !f.reader.Gap() && s.Read+1 >= b.End
+	f.atEnd = s != nil && !f.reader.HasGap() && s.LastOffset+1 >= b.End
 	if f.atEnd && !f.caughtUp {
 		f.caughtUp, changed = true, true
 	}
@@ -233,9 +233,9 @@
 // processStep counts and logs the effect of a record, and reports whether it changed
 // the configuration.
 func (f *Follower) processStep(start uint64, s folder.Step) bool {
-	if s.Found {
+	if s.Bootstrapped {
 		f.schedule.observe(f.ticker.Now(), s.Record)
-		f.logger.Info().Uint64("version", s.After.Version).Uint64("read", s.After.Read).Msg("configuration restored from the log")
+		f.logger.Info().Uint64("version", s.After.Version).Uint64("read", s.After.LastOffset).Msg("configuration restored from the log")
 		return true
 	}
 	f.counts.record(s.Verdict)
@@ -262,7 +262,7 @@
 	}
 	f.state.Store(s)
 	f.counts.version.Update(int64(s.Version))
-	f.counts.read.Update(int64(s.Read))
+	f.counts.read.Update(int64(s.LastOffset))
 	if !changed {
 		return
 	}
@@ -282,15 +282,15 @@
 	case s == nil && f.lastErr != nil:
 		return false, fmt.Sprintf("no configuration: no peer has one, and the log can't be read: %v", f.lastErr)
 	case s == nil && f.reader.State() != nil:
-		return false, fmt.Sprintf("the log is being read, so far up to %d", f.reader.State().Read)
-	case s == nil && !f.reader.Lost():
+		return false, fmt.Sprintf("the log is being read, so far up to %d", f.reader.State().LastOffset)
+	case s == nil && !f.reader.Exhausted():
 		return false, "no configuration: the log has not been read yet"
 	case s == nil:
 		return false, "no configuration: neither the log has a checkpoint nor a peer a state; publish anew"
 	case s.Version == 0:
 		return false, "no manifest has been published"
-	case f.reader.Gap():
-		return true, fmt.Sprintf("version %d stays in force: the log dropped records after %d unread; publish anew", s.Version, s.Read)
+	case f.reader.HasGap():
+		return true, fmt.Sprintf("version %d stays in force: the log dropped records after %d unread; publish anew", s.Version, s.LastOffset)
 	case f.logTruncated:
 		return true, fmt.Sprintf("version %d stays in force: %v", s.Version, f.lastErr)
 	case f.lastErr != nil:
--- a/entry/version/follower/follower_test.go
+++ b/entry/version/follower/follower_test.go
@@ -178,7 +178,7 @@
 	f := fx.newFollower()
 	assert.ErrorContains(t, fx.readToEnd(f), "refused")
 	assertReady(t, f, false, "no peer has one, and the log can't be read")
-	assert.Assert(t, f.ShouldFetch(peer.State().Read, fx.clock))
+	assert.Assert(t, f.ShouldFetch(peer.State().LastOffset, fx.clock))
 	snapshot, err := peer.Snapshot()
 	assert.NilError(t, err)
 	adopted, err := f.ApplySnapshot(snapshot)
@@ -189,7 +189,7 @@
 	fx.log.err = nil
 	fx.takeOut("a")
 	assert.NilError(t, fx.readToEnd(f))
-	assert.Assert(t, f.State().Out(recorder.TargetZone, "a"))
+	assert.Assert(t, f.State().IsOut(recorder.TargetZone, "a"))
 	assertReady(t, f, true, "")
 }
 
@@ -201,9 +201,9 @@
 	fx.publish(1)
 	fx.takeOut("a")
 	assert.NilError(t, fx.readToEnd(peer))
-	assert.Assert(t, !slow.ShouldFetch(peer.State().Read, fx.clock), "peers may be briefly ahead after any change")
+	assert.Assert(t, !slow.ShouldFetch(peer.State().LastOffset, fx.clock), "peers may be briefly ahead after any change")
 	fx.clock = fx.clock.Add(time.Second)
-	assert.Assert(t, slow.ShouldFetch(peer.State().Read, fx.clock))
+	assert.Assert(t, slow.ShouldFetch(peer.State().LastOffset, fx.clock))
 	old, err := slow.Snapshot()
 	assert.NilError(t, err)
 	snapshot, err := peer.Snapshot()
@@ -248,7 +248,7 @@
 func TestInvalidSnapshotsAreRejected(t *testing.T) {
 	fx := newFixture(t)
 	fx.publish(0)
-	good := folder.Store(*fx.startedFollower().State())
+	good := folder.NewCheckpoint(*fx.startedFollower().State())
 	bad := good
 	bad.Manifest = []byte("seats = 0")
 	f := fx.newFollower()
@@ -306,7 +306,7 @@
 	assert.NilError(t, f.WriteCheckpoint(context.Background()))
 	assert.NilError(t, fx.readToEnd(f))
 	fx.clock = fx.clock.Add(5 * time.Minute)
-	for range folder.Window {
+	for range folder.CheckpointWindow {
 		assert.Assert(t, !f.CheckpointDue(fx.clock))
 		fx.publish(f.State().Version)
 		assert.NilError(t, fx.readToEnd(f))
@@ -380,7 +380,7 @@
 	f := fx.startedFollower()
 	fx.append("later", 5)
 	fx.append(recorder.KindCheckpoint, "x")
-	fx.append(recorder.KindCheckpoint, recorder.Checkpoint{Read: 3})
+	fx.append(recorder.KindCheckpoint, recorder.Checkpoint{LastOffset: 3})
 	_, err := fx.log.Append(context.Background(), recorder.ConfigStream, []byte("\xffhello"))
 	assert.NilError(t, err)
 	assert.NilError(t, fx.readToEnd(f))
@@ -388,7 +388,7 @@
 	assert.Assert(t, f.CheckpointDue(fx.clock), "a contradicting checkpoint was accepted")
 	fx.takeOut("a")
 	assert.NilError(t, fx.readToEnd(f))
-	assert.Assert(t, f.State().Out(recorder.TargetZone, "a"))
+	assert.Assert(t, f.State().IsOut(recorder.TargetZone, "a"))
 	assertReady(t, f, true, "")
 }
 
--- a/entry/version/follower/peer.go
+++ b/entry/version/follower/peer.go
@@ -23,11 +23,11 @@
 	if s == nil {
 		return read > 0
 	}
-	if read <= s.Read || !f.caughtUp {
-		return read > s.Read
+	if read <= s.LastOffset || !f.caughtUp {
+		return read > s.LastOffset
 	}
-	if f.behind.read != s.Read || f.behind.since.IsZero() {
-		f.behind.read, f.behind.since = s.Read, now
+	if f.behind.read != s.LastOffset || f.behind.since.IsZero() {
+		f.behind.read, f.behind.since = s.LastOffset, now
 	}
 	return now.Sub(f.behind.since) >= peerFetchDelay
 }
@@ -38,7 +38,7 @@
 	if s == nil {
 		return nil, Error.New("no configuration loaded")
 	}
-	data, err := recorder.Wrap(recorder.KindCheckpoint, folder.Store(*s))
+	data, err := recorder.Wrap(recorder.KindCheckpoint, folder.NewCheckpoint(*s))
 	return data, Error.Wrap(err)
 }
 
@@ -56,7 +56,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s := f.reader.State(); s != nil && (c.Read <= s.Read || c.Version < s.Version) {
+	if s := f.reader.State(); s != nil && (c.LastOffset <= s.LastOffset || c.Version < s.Version) {
 		return false, nil
 	}
 	s, err := folder.Restore(c)
@@ -64,9 +64,9 @@
 		return false, Error.Wrap(err)
 	}
 	f.counts.adopted.Inc(1)
-	f.logger.Info().Uint64("version", s.Version).Uint64("read", s.Read).Msg("configuration restored from a peer")
+	f.logger.Info().Uint64("version", s.Version).Uint64("read", s.LastOffset).Msg("configuration restored from a peer")
 	f.caughtUp = true
-	f.reader.Jump(s)
+	f.reader.SetState(s)
 	f.publish(true)
 	return true, nil
 }
