--- a/entry/process/scheduler/times.go
+++ b/entry/process/scheduler/times.go
@@ -81,7 +81,7 @@
 	// The actual length of the answer is not known in advance. If requests were
 	// refused for the maximum length, most would lose an answer that they could
 	// have had.
-	answer := milliseconds(pass * placer.TypicalOutputShare * float64(r.Requirements.Output) / float64(max(1, e.Stride)))
+	answer := milliseconds(pass * placer.TypicalOutputShare * float64(r.Requirements.Output) / float64(max(1, e.StepsPerPass)))
 	latestUsefulStart := time.Time{}
 	if !r.Requirements.CallerTimeout.IsZero() {
 		latestUsefulStart = r.Requirements.CallerTimeout.Add(-first - latencyMargin)
--- a/entry/request/authenticator/authenticator.go
+++ b/entry/request/authenticator/authenticator.go
@@ -35,7 +35,7 @@
 // header, which must be between minLimit and maxLimit, or defaultLimit if it
 // has none.
 func Timeout(q *http.Request, defaultLimit, minLimit, maxLimit checker.Duration) (time.Duration, *refuser.Refusal) {
-	d, err := viewer.Limit(q.Header.Get(TimeoutHeader), defaultLimit, minLimit, maxLimit)
+	d, err := viewer.ParseTimeLimit(q.Header.Get(TimeoutHeader), defaultLimit, minLimit, maxLimit)
 	if err != nil {
 		return 0, refuser.BadRequest(TimeoutHeader, "bad_timeout", "%s", err)
 	}
--- a/entry/request/chatter/fake_test.go
+++ b/entry/request/chatter/fake_test.go
@@ -157,7 +157,7 @@
 		p.mu.Lock()
 		p.granted = append(p.granted, u.Name)
 		p.mu.Unlock()
-		return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: u, Tokens: c.Ask.Tokens, Slot: fakeSlot{acquirer: p}}}}, nil
+		return &dispatcher.Grant{Parts: []dispatcher.Part{{Upstream: u, Tokens: c.Ask.PromptTokens, Slot: fakeSlot{acquirer: p}}}}, nil
 	}
 	return nil, refuser.New(http.StatusTooManyRequests, "saturated", "full").WithRetryAfter(time.Second)
 }
@@ -169,7 +169,7 @@
 	g := &dispatcher.Grant{}
 	for i, u := range c.Pool.Upstreams {
 		g.Parts = append(g.Parts, dispatcher.Part{
-			Upstream: u, Tokens: c.Ask.Tokens / len(c.Pool.Upstreams), Slot: fakeSlot{acquirer: p, part: i},
+			Upstream: u, Tokens: c.Ask.PromptTokens / len(c.Pool.Upstreams), Slot: fakeSlot{acquirer: p, part: i},
 		})
 	}
 	return g
--- a/entry/request/passer/keyed.go
+++ b/entry/request/passer/keyed.go
@@ -21,7 +21,7 @@
 
 // A Deduplicator decides whether a call with an idempotency key may be sent.
 type Deduplicator interface {
-	Begin(ctx context.Context, c deduplicator.Call) deduplicator.Answer
+	Begin(ctx context.Context, c deduplicator.Call) deduplicator.Decision
 }
 
 // serveKeyed serves a call with an idempotency key: with the outcome of the
@@ -29,7 +29,7 @@
 func (p *Proxy) serveKeyed(ctx context.Context, w http.ResponseWriter, c *call, key string) {
 	a := p.deps.Deduplicator.Begin(ctx, deduplicator.Call{
 		Team: c.team.Name, Service: c.service, Key: key, Method: c.method, Path: c.path, Body: c.body.Data,
-		Dated: c.view.Manifest.Services[c.service].Keys != "any",
+		Timestamped: c.view.Manifest.Services[c.service].Keys != "any",
 	})
 	switch {
 	case a.Refusal != nil:
@@ -55,11 +55,11 @@
 	})
 	switch {
 	case result.response != nil && result.response.ran == refuser.RanYes:
-		t.Done(result.response.recordedOutcome())
+		t.Complete(result.response.recordedOutcome())
 	case result.response == nil && result.refusal.Ran == refuser.RanNo:
 		t.Abandon()
 	default:
-		t.Done(recorder.Outcome{Unknown: true})
+		t.Complete(recorder.Outcome{Unknown: true})
 	}
 	p.writeResult(w, result)
 }
@@ -69,7 +69,7 @@
 func (a *serviceResponse) recordedOutcome() recorder.Outcome {
 	o := recorder.Outcome{Status: a.status, Header: make(map[string]string), Body: a.body, Kept: true}
 	for _, name := range slices.Sorted(maps.Keys(a.header)) {
-		if len(o.Header) < recorder.MostHeaders && !notReplayed[name] {
+		if len(o.Header) < recorder.MaxHeaders && !notReplayed[name] {
 			o.Header[name] = a.header.Get(name)
 		}
 	}
