--- a/entry/request/chatter/answer.go
+++ b/entry/request/chatter/answer.go
@@ -20,11 +20,11 @@
 }
 
 func newEncoder(j *job, now time.Time) encoder {
-	f := responseMeta{id: "chatcmpl-" + j.id, model: j.model, created: now.Unix(), promptTokens: j.promptTokens}
+	m := responseMeta{id: "chatcmpl-" + j.id, model: j.model, created: now.Unix(), promptTokens: j.promptTokens}
 	if j.chat.Stream {
-		return &streamEncoder{responseMeta: f, usage: j.chat.IncludeUsage}
+		return &streamEncoder{responseMeta: m, usage: j.chat.IncludeUsage}
 	}
-	return &bufferedEncoder{responseMeta: f}
+	return &bufferedEncoder{responseMeta: m}
 }
 
 // responseMeta holds the fields that all chunks of a response share.
@@ -41,21 +41,21 @@
 	Total      uint64 `json:"total_tokens"`
 }
 
-func (f responseMeta) usage(e streamer.Summary) usage {
-	return usage{Prompt: f.promptTokens, Completion: e.Tokens, Total: uint64(f.promptTokens) + e.Tokens}
+func (m responseMeta) usage(e streamer.Summary) usage {
+	return usage{Prompt: m.promptTokens, Completion: e.Tokens, Total: uint64(m.promptTokens) + e.Tokens}
 }
 
 // appendPrefix appends the start of a chunk or of a single response, up to its
 // choices.
-func (f responseMeta) appendPrefix(b []byte, object string) []byte {
+func (m responseMeta) appendPrefix(b []byte, object string) []byte {
 	b = append(b, `{"id":"`...)
-	b = append(b, f.id...)
+	b = append(b, m.id...)
 	b = append(b, `","object":"`...)
 	b = append(b, object...)
 	b = append(b, `","created":`...)
-	b = strconv.AppendInt(b, f.created, 10)
+	b = strconv.AppendInt(b, m.created, 10)
 	b = append(b, `,"model":`...)
-	b = strconv.AppendQuote(b, f.model)
+	b = strconv.AppendQuote(b, m.model)
 	return append(b, `,"choices":`...)
 }
 
--- a/entry/request/chatter/chatter.go
+++ b/entry/request/chatter/chatter.go
@@ -249,7 +249,7 @@
 	return nil
 }
 
-func (j *job) ask() admitter.Request {
+func (j *job) admitterRequest() admitter.Request {
 	head := j.chat.Prompt[:min(prefixBytes, len(j.chat.Prompt))]
 	return admitter.Request{
 		Team: j.team.Name, Share: j.team.Share, PromptTokens: j.promptTokens, MaxOutput: j.maxTokens,
--- a/entry/request/chatter/registry.go
+++ b/entry/request/chatter/registry.go
@@ -14,21 +14,21 @@
 	return &idSet{ids: make(map[string]struct{})}
 }
 
-func (r *idSet) add(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.ids[id] = struct{}{}
+func (s *idSet) add(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ids[id] = struct{}{}
 }
 
-func (r *idSet) remove(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.ids, id)
+func (s *idSet) remove(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.ids, id)
 }
 
-func (r *idSet) contains(id string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	_, ok := r.ids[id]
+func (s *idSet) contains(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_, ok := s.ids[id]
 	return ok
 }
--- a/entry/request/chatter/run.go
+++ b/entry/request/chatter/run.go
@@ -31,7 +31,7 @@
 // attempts, so that no request runs twice unnoticed.
 func (h *Handler) run(ctx context.Context, w http.ResponseWriter, j *job) {
 	for {
-		call := dispatcher.Call{Pool: j.pool, Ask: j.ask(), Avoid: j.avoid}
+		call := dispatcher.Call{Pool: j.pool, Ask: j.admitterRequest(), Avoid: j.avoid}
 		grant, refusal := h.acquirer.Acquire(ctx, call)
 		if refusal != nil {
 			h.refuse(w, j.withRan(refusal))
--- a/entry/request/passer/keyed.go
+++ b/entry/request/passer/keyed.go
@@ -27,17 +27,17 @@
 // serveKeyed serves a call with an idempotency key: with the outcome of the
 // first call with that key, or by sending it if it is the first.
 func (p *Proxy) serveKeyed(ctx context.Context, w http.ResponseWriter, c *call, key string) {
-	a := p.deps.Deduplicator.Begin(ctx, deduplicator.Call{
+	decision := p.deps.Deduplicator.Begin(ctx, deduplicator.Call{
 		Team: c.team.Name, Service: c.service, Key: key, Method: c.method, Path: c.path, Body: c.body.Data,
 		Timestamped: c.view.Manifest.Services[c.service].Keys != "any",
 	})
 	switch {
-	case a.Refusal != nil:
-		p.refuse(w, a.Refusal)
-	case a.Outcome != nil:
-		p.replay(w, a.Outcome)
+	case decision.Refusal != nil:
+		p.refuse(w, decision.Refusal)
+	case decision.Outcome != nil:
+		p.replay(w, decision.Outcome)
 	default:
-		p.serveFirst(ctx, w, c, a.Ticket)
+		p.serveFirst(ctx, w, c, decision.Ticket)
 	}
 }
 
--- a/entry/request/passer/passer.go
+++ b/entry/request/passer/passer.go
@@ -211,6 +211,6 @@
 	return p.vm + "-" + strconv.FormatUint(p.boot, 36) + "-c" + strconv.FormatUint(n, 36)
 }
 
-func (c *call) ask() admitter.Request {
+func (c *call) admitterRequest() admitter.Request {
 	return admitter.Request{Team: c.team.Name, Share: c.team.Share, Arrived: c.arrived, Deadline: c.deadline}
 }
--- a/entry/request/passer/send.go
+++ b/entry/request/passer/send.go
@@ -47,7 +47,7 @@
 func (p *Proxy) run(ctx context.Context, c *call, ready func() *refuser.Refusal) callResult {
 	mayHaveRun := false
 	for {
-		grant, refusal := p.deps.Acquirer.Acquire(ctx, dispatcher.Call{Pool: c.pool, Ask: c.ask(), Avoid: c.avoid})
+		grant, refusal := p.deps.Acquirer.Acquire(ctx, dispatcher.Call{Pool: c.pool, Ask: c.admitterRequest(), Avoid: c.avoid})
 		if refusal != nil {
 			return callResult{refusal: withRanUnknownIf(refusal, mayHaveRun)}
 		}
