--- a/entry/process/deduplicator/batcher.go
+++ b/entry/process/deduplicator/batcher.go
@@ -180,7 +180,7 @@
 		return nil
 	}
 	b.emptyQueued = false
-	limit := recorder.MostCalls
+	limit := recorder.MaxCalls
 	results := min(len(b.results), limit/2)
 	intents := min(len(b.intents), limit-results)
 	items := append(make([]item, 0, limit), b.intents[:intents]...)
@@ -222,6 +222,6 @@
 	defer cancel()
 	b.meter.Count("deduplicator.appends", 1)
 	b.meter.Count("deduplicator.entries", int64(len(items)))
-	_, err = b.log.Append(ctx, recorder.Calls, data)
+	_, err = b.log.Append(ctx, recorder.CallStream, data)
 	return err
 }
--- a/entry/process/deduplicator/tailer.go
+++ b/entry/process/deduplicator/tailer.go
@@ -45,7 +45,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	from, wait := t.deduplicator.readPosition()
-	return t.log.Read(ctx, recorder.Calls, from, maxRecordsPerRead, wait)
+	return t.log.Read(ctx, recorder.CallStream, from, maxRecordsPerRead, wait)
 }
 
 // readPosition returns the offset to read from and how long the read may wait for
--- a/entry/process/deduplicator/ticket.go
+++ b/entry/process/deduplicator/ticket.go
@@ -102,7 +102,7 @@
 	for name, value := range o.Header {
 		size += len(name) + len(value)
 	}
-	if size > maxHeaderBytes || len(o.Header) > recorder.MostHeaders {
+	if size > maxHeaderBytes || len(o.Header) > recorder.MaxHeaders {
 		o.Header = nil
 	}
 	return o
--- a/entry/process/server/secure.go
+++ b/entry/process/server/secure.go
@@ -5,16 +5,16 @@
 	"github.com/heathervane/heathervane/entry/version/reloader"
 )
 
-// secure sets up TLS for callers and between VMs where the settings name
-// certificates. Renewed files are taken up without a restart.
-func (v *Server) secure(s setter.Settings) error {
+// setUpTLS configures TLS for callers and between VMs where the settings name
+// certificates. Renewed files are reloaded without a restart.
+func (v *Server) setUpTLS(s setter.Settings) error {
 	if s.Callers.Certificate != "" {
 		files := reloader.Files{Certificate: s.Callers.Certificate, Key: s.Callers.Key}
 		r, err := reloader.New("callers", files, v.ticker, v.meter.Registry(), v.log)
 		if err != nil {
 			return err
 		}
-		v.callersTLS = r.Server()
+		v.callersTLS = r.ServerConfig()
 	}
 	if s.Peers.Certificate != "" {
 		files := reloader.Files{Certificate: s.Peers.Certificate, Key: s.Peers.Key, Authority: s.Peers.Authority}
@@ -22,7 +22,7 @@
 		if err != nil {
 			return err
 		}
-		v.peersTLS, v.linksTLS = r.Server(), r.Client()
+		v.peersTLS, v.linksTLS = r.ServerConfig(), r.ClientConfig()
 	}
 	return nil
 }
--- a/entry/version/follower/counts.go
+++ b/entry/version/follower/counts.go
@@ -6,7 +6,7 @@
 	"github.com/heathervane/heathervane/library/folder"
 )
 
-// counts are the Follower's metrics.
+// counts holds the Follower's metrics.
 type counts struct {
 	version, read              metrics.Gauge
 	accepted, refused, ignored metrics.Counter
@@ -43,9 +43,9 @@
 		c.ignored.Inc(1)
 	}
 	switch v.Reason {
-	case folder.ReasonBroken:
+	case folder.ReasonMalformed:
 		c.broken.Inc(1)
-	case folder.ReasonBack:
+	case folder.ReasonOldOffset:
 		c.back.Inc(1)
 	}
 }
--- a/entry/version/matcher/matcher_test.go
+++ b/entry/version/matcher/matcher_test.go
@@ -12,19 +12,19 @@
 	return matcher.New(matcher.Config{
 		Version: 3,
 		Routes: []matcher.Route{
-			{Name: "all", Host: "a.example", Prefix: "/", Split: []matcher.Weight{{Service: "one", Weight: 1}}},
-			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Split: []matcher.Weight{{Service: "two", Weight: 1}}},
+			{Name: "all", Host: "a.example", Prefix: "/", Split: []matcher.WeightedService{{Service: "one", Weight: 1}}},
+			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Split: []matcher.WeightedService{{Service: "two", Weight: 1}}},
 			{Name: "shallow", Host: "A.example", Prefix: "/x/"},
 			{Name: "other", Host: "b.example", Prefix: "/x/"},
 		},
 		Services: []matcher.Service{{Name: "one"}, {Name: "two"}},
-		Teams:    []matcher.Team{{Name: "t", Keys: []string{"k1", "k2"}}},
+		Teams:    []matcher.Team{{Name: "t", APIKeys: []string{"k1", "k2"}}},
 	})
 }
 
-// A request that reached a route by what its bytes mean after unescaping, and
-// not by what they are, would run at a service that its path does not name.
-func TestRouteIsThatOfTheLongestPrefix(t *testing.T) {
+// A path that were unescaped before matching could reach a service that the raw path
+// doesn't name.
+func TestRouteMatchesLongestPrefix(t *testing.T) {
 	tests := []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "deep"},
 		{"a.example:8080", "/x/y/", "deep"},
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestKeysBelongToTeams(t *testing.T) {
+func TestTeamOfKey(t *testing.T) {
 	m, ok := table().Team("k2")
 	assert.Assert(t, ok)
 	assert.Equal(t, m.Name, "t")
@@ -55,10 +55,10 @@
 	assert.Assert(t, !ok)
 	_, ok = table().Team("")
 	assert.Assert(t, !ok)
-	assert.Assert(t, table().Guarded())
+	assert.Assert(t, table().RequiresKey())
 }
 
-func TestRepeatableFollowsFromTheKind(t *testing.T) {
+func TestRepeatableByKind(t *testing.T) {
 	tests := []struct {
 		route matcher.Route
 		want  bool
@@ -74,17 +74,17 @@
 	}
 }
 
-func TestPickFollowsWeights(t *testing.T) {
-	r := matcher.Route{Split: []matcher.Weight{{Service: "one", Weight: 90}, {Service: "two", Weight: 10}, {Service: "none"}}}
+func TestPickServiceFollowsWeights(t *testing.T) {
+	r := matcher.Route{Split: []matcher.WeightedService{{Service: "one", Weight: 90}, {Service: "two", Weight: 10}, {Service: "none"}}}
 	counts := map[string]int{}
 	const draws = 20_000
 	for range draws {
-		name, ok := r.Pick()
+		name, ok := r.PickService()
 		assert.Assert(t, ok)
 		counts[name]++
 	}
 	assert.Equal(t, counts["none"], 0)
 	assert.Assert(t, counts["two"] > draws*8/100 && counts["two"] < draws*12/100, "%v", counts)
-	_, ok := (&matcher.Route{}).Pick()
+	_, ok := (&matcher.Route{}).PickService()
 	assert.Assert(t, !ok)
 }
