--- a/library/finder/nearest.go
+++ b/library/finder/nearest.go
@@ -1,36 +1,38 @@
 package finder
 
-// maxWord is the longest word, in bytes, for which a nearest one is sought.
-const maxWord = 64
+// maxWordBytes is the length of the longest word that Nearest compares.
+const maxWordBytes = 64
 
-// Nearest returns the candidate that differs least from a word, or "" where
-// none is near enough to have been meant. Near enough is one edit for every
-// three letters, and at least one.
+// Nearest returns the candidate with the smallest edit distance to word, or ""
+// if none is within maxEdits.
 func Nearest(word string, candidates []string) string {
-	if len(word) > maxWord {
+	if len(word) > maxWordBytes {
 		return ""
 	}
-	best, least := "", allowed(len(word))+1
+	best, least := "", maxEdits(len(word))+1
 	for _, c := range candidates {
 		if abs(len(c)-len(word)) >= least {
 			continue
 		}
-		if d := edits(word, c); d < least {
+		if d := levenshtein(word, c); d < least {
 			best, least = c, d
 		}
 	}
 	return best
 }
 
-func allowed(letters int) int {
+// maxEdits returns the largest edit distance at which a candidate is suggested:
+// 1 for words of up to 3 bytes, 2 for up to 8, and a third of the length for
+// longer words.
+func maxEdits(letters int) int {
 	if letters < 4 {
 		return 1
 	}
 	return max(2, letters/3)
 }
 
-// edits is the Levenshtein distance of two words in bytes.
-func edits(a, b string) int {
+// levenshtein returns the Levenshtein distance of two words, counted in bytes.
+func levenshtein(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
