--- a/library/recorder/calls.go
+++ b/library/recorder/calls.go
@@ -1,47 +1,48 @@
 package recorder
 
-// CallStream is the stream that decides which attempt of a keyed call runs.
+// CallStream is the log stream that decides which attempt of a call with an
+// idempotency key runs.
 const CallStream = "calls"
 
-// KindCalls is the kind of the records of the stream Calls; each is a
-// CallBatch.
+// KindCalls is the kind of the records in CallStream; each is a CallBatch.
 const KindCalls = "calls"
 
 const (
-	// MaxCalls bounds the entries of one record.
+	// MaxCalls is the maximum number of entries in a record.
 	MaxCalls = 256
-	// maxOutcome bounds an outcome's body in bytes, with a margin above what
-	// VMs keep.
-	maxOutcome = 64 << 10
-	// MaxHeaders bounds an outcome's headers.
+	// maxOutcomeBody is the maximum size of the body of an outcome, in bytes.
+	// It is larger than the bodies that VMs keep.
+	maxOutcomeBody = 64 << 10
+	// MaxHeaders is the maximum number of headers of an outcome.
 	MaxHeaders = 32
 )
 
-// A Hash is the first half of a SHA-256.
+// A Hash is the first 16 bytes of a SHA-256 digest.
 type Hash [16]byte
 
-// A CallBatch is what one VM appends at once. Its entries come one after the
-// other, in the order of the list, at the place of the record.
+// A CallBatch holds the entries that a VM appends in one record. They take
+// effect in list order at the record's offset.
 type CallBatch struct {
 	Calls []CallEntry `cbor:"calls,omitempty"`
 }
 
-// A CallEntry is one step of an attempt; exactly one of Intent, Outcome and
+// A CallEntry is one step of an attempt. Exactly one of Intent, Outcome and
 // Abandon is set.
 type CallEntry struct {
 	// Key is the hash of the team, the service and the caller's key.
 	Key Hash `cbor:"key"`
-	// Attempt tells apart all attempts of all VMs.
+	// Attempt identifies the attempt among those of all VMs.
 	Attempt Attempt `cbor:"attempt"`
-	// Intent comes before the call is sent. The first of a key wins.
+	// Intent is appended before the call is sent. The first intent for a key
+	// wins.
 	Intent *Intent `cbor:"intent,omitempty"`
-	// Outcome comes after the call was sent.
+	// Outcome is appended after the call was sent.
 	Outcome *Outcome `cbor:"outcome,omitempty"`
-	// Abandon says that the attempt has sent nothing, and never will.
+	// Abandon says that the attempt has not sent the call and never will.
 	Abandon bool `cbor:"abandon,omitempty"`
 }
 
-// An Attempt is the number of an attempt; none is used twice.
+// An Attempt identifies an attempt uniquely.
 type Attempt struct {
 	VM   string `cbor:"vm"`
 	Boot uint64 `cbor:"boot"`
@@ -54,21 +55,22 @@
 	Print Hash `cbor:"print"`
 }
 
-// An Outcome is what became of a call that was sent.
+// An Outcome is the result of a call that was sent.
 type Outcome struct {
-	// Unknown says that the call may have run or not; nothing else is set.
+	// Unknown says that the call may or may not have run; no other field is
+	// set.
 	Unknown bool `cbor:"unknown,omitempty"`
-	// Status is the upstream's HTTP status.
+	// Status is the HTTP status of the upstream's response.
 	Status int `cbor:"status,omitempty"`
-	// Header are the headers that a repetition gets too.
+	// Header holds the headers that repetitions of the call also receive.
 	Header map[string]string `cbor:"header,omitempty"`
-	// Body is the answer's body where Kept is set. A longer one isn't kept.
+	// Body is the response body if Kept is set. Longer bodies are not kept.
 	Body []byte `cbor:"body,omitempty"`
 	Kept bool   `cbor:"kept,omitempty"`
 }
 
-// UnwrapCalls reads a record of the stream Calls. It refuses a record that VMs
-// of this version never write, so that all skip the same ones.
+// UnwrapCalls decodes a record of CallStream. It refuses records that VMs of
+// this version never write, so that all VMs skip the same records.
 func UnwrapCalls(data []byte) (CallBatch, error) {
 	b, err := Unwrap[CallBatch](data)
 	if err != nil {
@@ -95,12 +97,12 @@
 	if set != 1 {
 		return ErrDecode.New("%d of intent, outcome and abandon are set, expected 1", set)
 	}
-	if c.Attempt.VM == "" || len(c.Attempt.VM) > maxKind {
-		return ErrDecode.New("attempt.vm has %d bytes, expected 1 to %d", len(c.Attempt.VM), maxKind)
+	if c.Attempt.VM == "" || len(c.Attempt.VM) > maxKindBytes {
+		return ErrDecode.New("attempt.vm has %d bytes, expected 1 to %d", len(c.Attempt.VM), maxKindBytes)
 	}
-	if o := c.Outcome; o != nil && (len(o.Body) > maxOutcome || len(o.Header) > MaxHeaders) {
+	if o := c.Outcome; o != nil && (len(o.Body) > maxOutcomeBody || len(o.Header) > MaxHeaders) {
 		return ErrDecode.New("outcome has %d bytes and %d headers, at most %d and %d",
-			len(o.Body), len(o.Header), maxOutcome, MaxHeaders)
+			len(o.Body), len(o.Header), maxOutcomeBody, MaxHeaders)
 	}
 	return nil
 }
--- a/library/recorder/packer.go
+++ b/library/recorder/packer.go
@@ -7,11 +7,11 @@
 	"io"
 )
 
-// magic begins gzip data. TOML can't begin with it.
-var magic = []byte{0x1f, 0x8b}
+// gzipMagic is the start of gzip data. TOML can't start with these bytes.
+var gzipMagic = []byte{0x1f, 0x8b}
 
-// Compress makes a manifest shorter. A manifest of thousands of upstreams repeats
-// itself, and would otherwise not fit into a record.
+// Compress compresses a manifest with gzip. A manifest of thousands of
+// upstreams is repetitive, and would not fit into a record uncompressed.
 func Compress(source []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestCompression)
@@ -27,11 +27,12 @@
 	return b.Bytes(), nil
 }
 
-// Decompress returns the manifest that Pack packed, of at most limit bytes; what is
-// not packed is returned as it is. A hostile record of a kilobyte may otherwise
-// unpack to a thousand times as much, and take a small VM's memory.
+// Decompress returns a manifest that Compress compressed, of at most limit
+// bytes. Data that is not gzip is returned unchanged. Without the limit, a
+// hostile record of a kilobyte could expand a thousandfold and exhaust the
+// memory of a small VM.
 func Decompress(packed []byte, limit int) ([]byte, error) {
-	if !bytes.HasPrefix(packed, magic) {
+	if !bytes.HasPrefix(packed, gzipMagic) {
 		return packed, nil
 	}
 	r, err := gzip.NewReader(bytes.NewReader(packed))
--- a/library/recorder/quarantine.go
+++ b/library/recorder/quarantine.go
@@ -1,14 +1,15 @@
 package recorder
 
-// QuarantineStream is the stream of requests that crash whoever runs them, and
-// KindQuarantine the kind of its records.
+// QuarantineStream is the log stream that holds information about requests that
+// crash the upstreams that run them, and KindQuarantine the kind of its
+// records.
 const (
 	QuarantineStream = "quarantine"
 	KindQuarantine   = "quarantine"
 )
 
-// A QuarantineRecord is what one VM knows of some requests, in VMs' own encoding,
-// with ages as of the record's time.
+// A QuarantineRecord holds what one VM knows about some of these requests. Part
+// has an encoding of its own, with ages relative to the record's time.
 type QuarantineRecord struct {
 	Part []byte `cbor:"1,keyasint"`
 }
--- a/library/recorder/recorder.go
+++ b/library/recorder/recorder.go
@@ -1,7 +1,8 @@
-// Package recorder is the codec of what VMs write to the log and send one
-// another: CBOR with one canonical encoding and a strict, bounded reader, and a
-// versioned envelope that names the kind of a record. Readers skip kinds and
-// versions that they do not know. It neither reads nor writes any stream.
+// Package recorder encodes and decodes the records that VMs append to the log
+// and the messages that they send one another. It uses CBOR with a single
+// canonical encoding, a strict decoder with limits, and a versioned envelope
+// that names the kind of a record. Readers skip kinds and versions that they
+// don't know. The package does no I/O.
 package recorder
 
 import (
@@ -10,26 +11,27 @@
 )
 
 var (
-	// ErrEncode is the class of values that can't be encoded.
+	// ErrEncode is the class of errors about values that can't be encoded.
 	ErrEncode = errs.Class("encode")
-	// ErrDecode is the class of data that isn't what it should be.
+	// ErrDecode is the class of errors about malformed or invalid data.
 	ErrDecode = errs.Class("decode")
-	// ErrVersion is the class of envelopes of a version not known here. Readers
-	// skip them.
+	// ErrVersion is the class of errors about envelopes of an unsupported
+	// version. Readers skip such records.
 	ErrVersion = errs.Class("envelope version")
 )
 
 const (
-	// Version is the version of the envelope that Wrap writes.
+	// Version is the envelope version that Wrap writes.
 	Version = 1
 
-	// maxNested and maxItems bound what the decoder builds: a hostile record of
-	// a few bytes may otherwise announce arrays of billions of entries.
-	maxNested = 16
-	maxItems  = 1 << 17
+	// maxNestedLevels and maxElements limit what the decoder allocates. Without
+	// them, a hostile record of a few bytes could announce arrays of billions
+	// of elements.
+	maxNestedLevels = 16
+	maxElements     = 1 << 17
 
-	// maxKind is the longest name of a kind in bytes.
-	maxKind = 64
+	// maxKindBytes is the length of the longest kind.
+	maxKindBytes = 64
 )
 
 var (
@@ -50,9 +52,9 @@
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 		IndefLength:      cbor.IndefLengthForbidden,
 		TagsMd:           cbor.TagsForbidden,
-		MaxNestedLevels:  maxNested,
-		MaxArrayElements: maxItems,
-		MaxMapPairs:      maxItems,
+		MaxNestedLevels:  maxNestedLevels,
+		MaxArrayElements: maxElements,
+		MaxMapPairs:      maxElements,
 	}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -60,22 +62,24 @@
 	return mode
 }
 
-// Encode returns the canonical encoding of v: equal values have equal bytes.
+// Encode returns the canonical encoding of v: equal values encode to equal
+// bytes.
 func Encode[T any](v T) ([]byte, error) {
 	data, err := encoder.Marshal(v)
 	return data, ErrEncode.Wrap(err)
 }
 
-// Decode reads a T. It refuses duplicate keys, tags, indefinite lengths, deep
-// nesting and trailing bytes; fields that T does not have are skipped, so that
-// a newer VM may add some.
+// Decode decodes a T. It refuses duplicate keys, tags, indefinite lengths, deep
+// nesting and trailing bytes. Unknown fields are skipped, so that newer VMs can
+// add fields.
 func Decode[T any](data []byte) (T, error) {
 	var v T
 	err := decoder.Unmarshal(data, &v)
 	return v, ErrDecode.Wrap(err)
 }
 
-// envelope is an array of three, which costs four bytes beside its kind.
+// envelope is encoded as a CBOR array of three elements, which takes four bytes
+// in addition to the kind.
 type envelope struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
@@ -83,10 +87,10 @@
 	Body    cbor.RawMessage
 }
 
-// Wrap encodes v in an envelope that names its kind.
+// Wrap encodes v in an envelope of the given kind.
 func Wrap[T any](kind string, v T) ([]byte, error) {
-	if kind == "" || len(kind) > maxKind {
-		return nil, ErrEncode.New("kind %q has %d bytes, expected 1 to %d", kind, len(kind), maxKind)
+	if kind == "" || len(kind) > maxKindBytes {
+		return nil, ErrEncode.New("kind %q has %d bytes, expected 1 to %d", kind, len(kind), maxKindBytes)
 	}
 	body, err := Encode(v)
 	if err != nil {
@@ -95,9 +99,9 @@
 	return Encode(envelope{Version: Version, Kind: kind, Body: body})
 }
 
-// Kind returns the kind of an enveloped record without reading its body. A
-// reader skips a record of a kind that it does not know, and one whose error is
-// of the class ErrVersion.
+// Kind returns the kind of an enveloped record without decoding its body.
+// Callers skip records whose kind they don't know and records that fail with
+// ErrVersion.
 func Kind(data []byte) (string, error) {
 	e, err := open(data)
 	return e.Kind, err
@@ -119,10 +123,10 @@
 		return envelope{}, err
 	}
 	if e.Version != Version {
-		return envelope{}, ErrVersion.New("%d, known is %d", e.Version, Version)
+		return envelope{}, ErrVersion.New("%d is not supported, expected %d", e.Version, Version)
 	}
-	if e.Kind == "" || len(e.Kind) > maxKind {
-		return envelope{}, ErrDecode.New("kind has %d bytes, expected 1 to %d", len(e.Kind), maxKind)
+	if e.Kind == "" || len(e.Kind) > maxKindBytes {
+		return envelope{}, ErrDecode.New("kind has %d bytes, expected 1 to %d", len(e.Kind), maxKindBytes)
 	}
 	return e, nil
 }
--- a/library/recorder/recorder_test.go
+++ b/library/recorder/recorder_test.go
@@ -26,7 +26,7 @@
 	v := newer{A: 1, B: "two", M: map[string]int{"x": 1, "aa": 2, "b": 3}}
 	data, err := recorder.Wrap("thing", v)
 	assert.NilError(t, err)
-	for range 20 { // maps have no order of their own
+	for range 20 { // map iteration order is random
 		again, err := recorder.Wrap("thing", v)
 		assert.NilError(t, err)
 		assert.Assert(t, bytes.Equal(data, again))
