--- a/library/checker/checker_test.go
+++ b/library/checker/checker_test.go
@@ -18,7 +18,7 @@
 	return string(data)
 }
 
-func TestExampleManifestStands(t *testing.T) {
+func TestExampleManifestIsValid(t *testing.T) {
 	m, found := checker.Parse([]byte(example(t)))
 	assert.NilError(t, found.Err())
 	assert.Equal(t, m.Teams["busan"].Share, 1)
@@ -38,8 +38,8 @@
 	assert.Equal(t, m.Teams["t"].Share, 1)
 }
 
-// An operator mends a manifest by what check says, so each mistake must be
-// named at its place, and a wrong word with the right one.
+// Operators correct a manifest by its findings, so each mistake must be
+// reported at its location, and a misspelt word with a suggestion.
 func TestFindings(t *testing.T) {
 	hash := "sha256:" + strings.Repeat("0", 64)
 	for _, c := range []struct{ old, new, want string }{
@@ -103,8 +103,9 @@
 	assert.Equal(t, len(found), 5, "%v", found)
 }
 
-// A record of a few bytes that nests deep, or one that is very long, would
-// otherwise take minutes to refuse on every VM, which then follows nothing.
+// Without limits, a record of a few bytes with deep nesting, or a very long
+// one, would take every VM minutes to refuse, during which it follows no
+// configuration.
 func TestHostileManifestsAreRefusedAtOnce(t *testing.T) {
 	for name, text := range map[string]string{
 		"arrays":       "a = " + strings.Repeat("[", 1<<19),
