--- a/library/decoder/decoder.go
+++ b/library/decoder/decoder.go
@@ -1,7 +1,7 @@
-// Package decoder reads TOML into structs and collects everything that does
-// not fit, each with its place, where the TOML library alone stops at the
-// first value of a wrong type. It knows nothing of what the values mean: the
-// readers of manifests and settings check that.
+// Package decoder decodes TOML into structs and collects every value that
+// doesn't fit, each with its location; the TOML library alone stops at the
+// first value of a wrong type. It doesn't validate what the values mean; the
+// readers of manifests and settings do.
 package decoder
 
 import (
@@ -18,73 +18,74 @@
 	"github.com/heathervane/heathervane/library/finder"
 )
 
-// maxShown bounds how many bytes of an input a finding repeats, because the
-// input may be hostile and findings are kept in the audit trail.
-const maxShown = 60
+// maxQuotedBytes limits how many bytes of the input a finding quotes, because
+// the input may be hostile and findings are kept in the audit trail.
+const maxQuotedBytes = 60
 
-// Decode reads TOML of at most limit bytes into the struct that into points
-// to, by its toml tags. Fields that the input leaves out keep their values.
-// Keys are matched with their case. Whatever can be read is read, also where
-// there are findings.
+// Decode decodes TOML of at most limit bytes into the struct that into points
+// to, using its toml tags. Fields that the input doesn't set keep their values.
+// Keys are case-sensitive. Every value that fits is stored, even if there are
+// findings about others.
 func Decode(data []byte, into any, limit int) finder.Findings {
-	var w walker
+	var w structDecoder
 	if len(data) > limit {
-		w.found.Addf("line 1", "is %d bytes long, more than the %d allowed", len(data), limit)
-		return w.found
+		w.findings.Addf("line 1", "is %d bytes long, more than the %d allowed", len(data), limit)
+		return w.findings
 	}
-	if line, ok := tooDeep(data); !ok {
-		w.found.Addf(fmt.Sprintf("line %d", line), "nests deeper than %d levels", maxDepth)
-		return w.found
+	if line, ok := checkDepth(data); !ok {
+		w.findings.Addf(fmt.Sprintf("line %d", line), "nests deeper than %d levels", maxDepth)
+		return w.findings
 	}
 	raw := map[string]any{}
 	if _, err := toml.Decode(string(data), &raw); err != nil {
-		w.syntax(err)
-		return w.found
+		w.addSyntaxError(err)
+		return w.findings
 	}
-	w.table("", raw, reflect.ValueOf(into).Elem())
-	return w.found
+	w.decodeTable("", raw, reflect.ValueOf(into).Elem())
+	return w.findings
 }
 
-// A Defaulter is an entry of a table whose fields have other defaults than
-// zero. It is preset before its keys are read, so that a zero that somebody
-// wrote is told from a key left out.
+// A Defaulter is a table entry with fields whose defaults are not zero.
+// SetDefaults is called before the entry's keys are decoded, so that an
+// explicit zero differs from a missing key.
 type Defaulter interface {
 	SetDefaults()
 }
 
-type walker struct {
-	found finder.Findings
+type structDecoder struct {
+	findings finder.Findings
 }
 
-func (w *walker) syntax(err error) {
+func (w *structDecoder) addSyntaxError(err error) {
 	var p toml.ParseError
 	if !errors.As(err, &p) {
-		w.found.Addf("line 1", "%s", Truncate(err.Error()))
+		w.findings.Addf("line 1", "%s", Truncate(err.Error()))
 		return
 	}
 	text := p.Message
 	if text == "" {
 		text = p.Error()
 	}
-	w.found.Addf(fmt.Sprintf("line %d", p.Position.Line), "%s", Truncate(text))
+	w.findings.Addf(fmt.Sprintf("line %d", p.Position.Line), "%s", Truncate(text))
 }
 
-// table reads a TOML table into a struct, key by key in the order of names, so
-// that the same input gives the same findings in the same order.
-func (w *walker) table(place string, raw map[string]any, v reflect.Value) {
-	fields := fieldsOf(v)
+// decodeTable decodes a TOML table into a struct. It visits the keys in sorted
+// order, so that the same input always gives the same findings in the same
+// order.
+func (w *structDecoder) decodeTable(place string, raw map[string]any, v reflect.Value) {
+	fields := taggedFields(v)
 	for _, key := range slices.Sorted(maps.Keys(raw)) {
 		at := JoinPath(place, key)
 		f, ok := fields[key]
 		if !ok {
-			w.found.AddHintf(at, strings.ToLower(key), slices.Sorted(maps.Keys(fields)), "unknown key")
+			w.findings.AddHintf(at, strings.ToLower(key), slices.Sorted(maps.Keys(fields)), "unknown key")
 			continue
 		}
-		w.value(at, raw[key], f)
+		w.decodeValue(at, raw[key], f)
 	}
 }
 
-func fieldsOf(v reflect.Value) map[string]reflect.Value {
+func taggedFields(v reflect.Value) map[string]reflect.Value {
 	fields := make(map[string]reflect.Value, v.NumField())
 	for i := range v.NumField() {
 		if tag := v.Type().Field(i).Tag.Get("toml"); tag != "" && tag != "-" {
@@ -94,25 +95,25 @@
 	return fields
 }
 
-func (w *walker) value(place string, raw any, v reflect.Value) {
+func (w *structDecoder) decodeValue(place string, raw any, v reflect.Value) {
 	if t, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
-		w.text(place, raw, t)
+		w.decodeText(place, raw, t)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
 		if m, ok := raw.(map[string]any); ok {
-			w.table(place, m, v)
+			w.decodeTable(place, m, v)
 			return
 		}
 	case reflect.Map:
 		if m, ok := raw.(map[string]any); ok {
-			w.entries(place, m, v)
+			w.decodeMap(place, m, v)
 			return
 		}
 	case reflect.Slice:
 		if l, ok := raw.([]any); ok {
-			w.list(place, l, v)
+			w.decodeSlice(place, l, v)
 			return
 		}
 	case reflect.Int:
@@ -126,45 +127,45 @@
 			return
 		}
 	}
-	w.found.Addf(place, "is %s, not %s", nameOf(raw), wanted(v))
+	w.findings.Addf(place, "is %s, not %s", tomlTypeName(raw), expectedType(v))
 }
 
-func (w *walker) text(place string, raw any, into encoding.TextUnmarshaler) {
+func (w *structDecoder) decodeText(place string, raw any, into encoding.TextUnmarshaler) {
 	s, ok := raw.(string)
 	if !ok {
-		w.found.Addf(place, "is %s, not a string with a unit", nameOf(raw))
+		w.findings.Addf(place, "is %s, not a string with a unit", tomlTypeName(raw))
 		return
 	}
 	if err := into.UnmarshalText([]byte(s)); err != nil {
-		w.found.Addf(place, "%s", Truncate(err.Error()))
+		w.findings.Addf(place, "%s", Truncate(err.Error()))
 	}
 }
 
-func (w *walker) entries(place string, raw map[string]any, v reflect.Value) {
+func (w *structDecoder) decodeMap(place string, raw map[string]any, v reflect.Value) {
 	m := reflect.MakeMapWithSize(v.Type(), len(raw))
 	for _, key := range slices.Sorted(maps.Keys(raw)) {
 		e := reflect.New(v.Type().Elem()).Elem()
 		if p, ok := e.Addr().Interface().(Defaulter); ok {
 			p.SetDefaults()
 		}
-		w.value(JoinPath(place, key), raw[key], e)
+		w.decodeValue(JoinPath(place, key), raw[key], e)
 		m.SetMapIndex(reflect.ValueOf(key), e)
 	}
 	v.Set(m)
 }
 
-func (w *walker) list(place string, raw []any, v reflect.Value) {
+func (w *structDecoder) decodeSlice(place string, raw []any, v reflect.Value) {
 	l := reflect.MakeSlice(v.Type(), len(raw), len(raw))
 	for i, r := range raw {
-		w.value(fmt.Sprintf("%s[%d]", place, i), r, l.Index(i))
+		w.decodeValue(fmt.Sprintf("%s[%d]", place, i), r, l.Index(i))
 	}
 	v.Set(l)
 }
 
-// JoinPath puts a key behind a dotted place; a key that would blur the place is
-// quoted.
+// JoinPath appends a key to a dotted path. A key that would make the path
+// ambiguous is quoted.
 func JoinPath(place, key string) string {
-	if key == "" || strings.ContainsAny(key, ". \t\r\n\"'") || len(key) > maxShown {
+	if key == "" || strings.ContainsAny(key, ". \t\r\n\"'") || len(key) > maxQuotedBytes {
 		key = fmt.Sprintf("%q", Truncate(key))
 	}
 	if place == "" {
@@ -173,15 +174,15 @@
 	return place + "." + key
 }
 
-// Truncate cuts a text from an input to a length fit for a finding.
+// Truncate shortens text from an input to the length that a finding may quote.
 func Truncate(text string) string {
-	if len(text) <= maxShown {
+	if len(text) <= maxQuotedBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:maxShown], "") + "…"
+	return strings.ToValidUTF8(text[:maxQuotedBytes], "") + "…"
 }
 
-func nameOf(raw any) string {
+func tomlTypeName(raw any) string {
 	switch raw.(type) {
 	case string:
 		return "a string"
@@ -200,7 +201,7 @@
 	}
 }
 
-func wanted(v reflect.Value) string {
+func expectedType(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Struct, reflect.Map:
 		return "a table"
--- a/library/decoder/decoder_test.go
+++ b/library/decoder/decoder_test.go
@@ -15,14 +15,14 @@
 	Words  []string `toml:"words"`
 }
 
-// SetDefaults gives the number another default than zero.
+// SetDefaults gives the number a default other than zero.
 func (i *inner) SetDefaults() { i.Number = 7 }
 
 type outer struct {
 	Name  string           `toml:"name"`
 	Yes   bool             `toml:"yes"`
 	Table map[string]inner `toml:"table"`
-	Other string           // without a tag, not read
+	Other string           // has no tag, so it is not decoded
 }
 
 func TestDecode(t *testing.T) {
@@ -56,12 +56,12 @@
 	}
 }
 
-// deepest bounds what may pass the scan for nesting: so many inline levels, with
-// a dotted key of so many parts in each.
-const deepest = 20 * 20
+// maxScannedDepth is the greatest depth that may pass the scan: 20 inline
+// levels, each with a dotted key of 20 parts.
+const maxScannedDepth = 20 * 20
 
-// FuzzDepth looks for inputs that the scan for nesting takes for harmless and
-// the library does not.
+// FuzzDepth checks that every input that the library parses as deeper than
+// maxScannedDepth is refused by the depth scan.
 func FuzzDepth(f *testing.F) {
 	for _, start := range []string{
 		`a = `, `a = ["""x"""", `, `a = ["\"", '\', `, "a = [\"\"\"\n\\\"\"\"\"\"\", '''''', # \"\n", `a = ['''x'''', `,
@@ -71,7 +71,7 @@
 		f.Add(start, "{b=", "}", 3)
 	}
 	f.Fuzz(func(t *testing.T, start, open, end string, times int) {
-		const most = 600 // levels that the library still reads soon
+		const most = 600 // levels that the library still parses quickly
 		if times < 0 || len(start) > 200 || len(open) > 20 || len(end) > 20 {
 			return
 		}
@@ -79,7 +79,7 @@
 		text := start + strings.Repeat(open, times) + strings.Repeat(end, times) + "]"
 		for _, text := range []string{text, strings.TrimSuffix(text, "]")} {
 			raw := map[string]any{}
-			if _, err := toml.Decode(text, &raw); err != nil || depth(raw) <= deepest {
+			if _, err := toml.Decode(text, &raw); err != nil || depth(raw) <= maxScannedDepth {
 				continue
 			}
 			found := decoder.Decode([]byte(text), &outer{}, 1<<20)
--- a/library/decoder/depth.go
+++ b/library/decoder/depth.go
@@ -2,18 +2,19 @@
 
 import "bytes"
 
-// maxDepth bounds nested tables and arrays, and the parts of a dotted key.
-// Manifests and settings need three.
+// maxDepth limits the nesting of tables and arrays, and the number of dots in a
+// dotted key. Manifests and settings need three levels.
 const maxDepth = 16
 
-// tooDeep looks for nesting that the TOML library takes minutes over, since
-// its work grows with the square of the depth: without the check one hostile
-// record on the log keeps every VM's processor busy, which shows as VMs that
-// stop following the configuration. It returns the line where the bound is
-// passed. Strings and comments are skipped as TOML defines them.
-func tooDeep(data []byte) (line int, ok bool) {
+// checkDepth returns the line at which the input exceeds maxDepth, or ok if it
+// doesn't. The TOML library's running time is quadratic in the depth, and a
+// deeply nested input takes it minutes. Without this check, a single hostile
+// record on the log would keep every VM's processor busy, and the VMs would
+// stop following the configuration. Strings and comments are skipped as TOML
+// defines them.
+func checkDepth(data []byte) (line int, ok bool) {
 	s := scanner{data: data, line: 1}
-	for s.at < len(data) {
+	for s.pos < len(data) {
 		if !s.step() {
 			return s.line, false
 		}
@@ -21,82 +22,84 @@
 	return 0, true
 }
 
+// scanner tracks the nesting depth and line number while it moves through TOML.
 type scanner struct {
 	data []byte
-	at   int
+	pos  int
 	line int
 
-	open int
-	dots int
+	openBrackets int
+	keyDots      int // dots since the last delimiter or line break
 }
 
 func (s *scanner) step() bool {
-	switch c := s.data[s.at]; c {
+	switch c := s.data[s.pos]; c {
 	case '\n':
 		s.line++
-		s.dots = 0
+		s.keyDots = 0
 	case '#':
-		s.skip(bytes.IndexByte(s.data[s.at:], '\n'))
+		s.skip(bytes.IndexByte(s.data[s.pos:], '\n'))
 		return true
 	case '"', '\'':
-		s.text(c)
+		s.skipString(c)
 		return true
 	case '[', '{':
-		s.open++
-		s.dots = 0
+		s.openBrackets++
+		s.keyDots = 0
 	case ']', '}':
-		s.open--
-		s.dots = 0
+		s.openBrackets--
+		s.keyDots = 0
 	case '=', ',':
-		s.dots = 0
+		s.keyDots = 0
 	case '.':
-		s.dots++
+		s.keyDots++
 	}
-	s.at++
-	return s.open <= maxDepth && s.dots <= maxDepth
+	s.pos++
+	return s.openBrackets <= maxDepth && s.keyDots <= maxDepth
 }
 
-// skip moves n bytes on, or to the end where n is negative.
+// skip advances by n bytes, or to the end if n is negative.
 func (s *scanner) skip(n int) {
 	if n < 0 {
-		n = len(s.data) - s.at
+		n = len(s.data) - s.pos
 	}
-	s.at += n
+	s.pos += n
 }
 
-// text skips a string that begins with the quote at the scanner's place.
-func (s *scanner) text(quote byte) {
+// skipString skips the string that starts with the quote at the current
+// position.
+func (s *scanner) skipString(quote byte) {
 	triple := bytes.Repeat([]byte{quote}, 3)
-	if bytes.HasPrefix(s.data[s.at:], triple) {
-		s.lines(quote, triple)
+	if bytes.HasPrefix(s.data[s.pos:], triple) {
+		s.skipMultilineString(quote, triple)
 		return
 	}
-	for s.at++; s.at < len(s.data); s.at++ {
-		switch c := s.data[s.at]; {
+	for s.pos++; s.pos < len(s.data); s.pos++ {
+		switch c := s.data[s.pos]; {
 		case c == '\n':
 			return
 		case c == '\\' && quote == '"':
-			s.at++
+			s.pos++
 		case c == quote:
-			s.at++
+			s.pos++
 			return
 		}
 	}
 }
 
-// lines skips a string over several lines. Up to two quotes may stand right
-// before the three that close it.
-func (s *scanner) lines(quote byte, triple []byte) {
-	for s.at += len(triple); s.at < len(s.data); s.at++ {
-		switch c := s.data[s.at]; {
+// skipMultilineString skips a multi-line string. Up to two quotes may directly
+// precede the three that close it.
+func (s *scanner) skipMultilineString(quote byte, triple []byte) {
+	for s.pos += len(triple); s.pos < len(s.data); s.pos++ {
+		switch c := s.data[s.pos]; {
 		case c == '\n':
 			s.line++
 		case c == '\\' && quote == '"':
-			s.at++
-		case bytes.HasPrefix(s.data[s.at:], triple):
-			s.at += len(triple)
-			for extra := 0; extra < 2 && s.at < len(s.data) && s.data[s.at] == quote; extra++ {
-				s.at++
+			s.pos++
+		case bytes.HasPrefix(s.data[s.pos:], triple):
+			s.pos += len(triple)
+			for extra := 0; extra < 2 && s.pos < len(s.data) && s.data[s.pos] == quote; extra++ {
+				s.pos++
 			}
 			return
 		}
