--- a/library/folder/fleet_test.go
+++ b/library/folder/fleet_test.go
@@ -12,14 +12,14 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// fleet is a log that drops old records and VMs that read it, each from where
-// it started. A witness has read every record from the first on.
+// fleet is a log that drops old records, and VMs that read it from different
+// offsets. A reference reader has applied every record from the first one on.
 type fleet struct {
 	start   uint64
-	records []folder.Record // of offset 1 and up, dropped ones too
+	records []folder.Record // from offset 1 on, including dropped ones
 	vms     []*vm
 
-	states   map[uint64]folder.State // of the witness, by Read
+	states   map[uint64]folder.State // of the reference reader, by LastOffset
 	verdicts map[uint64]folder.Verdict
 	ids      int
 }
@@ -29,7 +29,8 @@
 	*folder.Reader
 }
 
-// newVM returns one that first looks for a checkpoint a few records back.
+// newVM returns a VM that first searches for a checkpoint in the last 0 to 5
+// records.
 func newVM(t *rapid.T) *vm {
 	return &vm{folder.NewReader(rapid.Uint64Range(0, 5).Draw(t, "window"))}
 }
@@ -43,7 +44,7 @@
 	f.states[r.Offset], f.verdicts[r.Offset] = s, v
 }
 
-// step has a VM read a batch of a few records.
+// step makes a VM read one batch of up to three records.
 func (f *fleet) step(t *rapid.T, m *vm) {
 	from := m.Next()
 	b := folder.Batch{Start: f.start, End: f.end()}
@@ -57,8 +58,8 @@
 	}
 }
 
-// check holds a step against the witness: the state is the same at the same
-// offset, and neither the version nor the reading goes back.
+// check compares a step with the reference reader: the state at the same offset
+// is equal, and neither the version nor the last offset decreases.
 func (f *fleet) check(t *rapid.T, s folder.Step) {
 	assert.DeepEqual(t, s.After, f.states[s.After.LastOffset])
 	if s.Bootstrapped {
@@ -77,8 +78,8 @@
 	return fmt.Sprint("id-", f.ids)
 }
 
-// publish has operators publish on the version in force, on one before it, or
-// anew; some with a manifest that has findings.
+// publish appends a publish based on the version in force or on another
+// version, or a publish anew. Some of the manifests have findings.
 func (f *fleet) publish(t *rapid.T) {
 	now := f.states[f.end()-1]
 	p := recorder.Publish{Base: now.Version, Manifest: manifest(rapid.IntRange(0, 5).Draw(t, "seats")), Who: "kim", ID: f.id()}
@@ -101,7 +102,7 @@
 	f.append(wrap(t, recorder.KindOrder, o))
 }
 
-// again appends a record that an operator or a VM has appended before.
+// again appends a copy of an earlier record.
 func (f *fleet) again(t *rapid.T) {
 	if len(f.records) > 0 {
 		f.append(rapid.SampledFrom(f.records).Draw(t, "record").Data)
@@ -117,8 +118,8 @@
 	f.append(data)
 }
 
-// checkpoint has any VM write one, also one that has read little or was frozen
-// for long, and several of them at once.
+// checkpoint makes any VM that has a state write a checkpoint, even one that is
+// far behind the end. Several VMs may write one.
 func (f *fleet) checkpoint(t *rapid.T) {
 	m := rapid.SampledFrom(f.vms).Draw(t, "writer")
 	if m.State() != nil {
@@ -126,7 +127,7 @@
 	}
 }
 
-// adopt has a VM take the state of another that has read further.
+// adopt makes a VM take over the state of another one that has read further.
 func (f *fleet) adopt(t *rapid.T) {
 	from := rapid.SampledFrom(f.vms).Draw(t, "from").State()
 	to := rapid.SampledFrom(f.vms).Draw(t, "to")
@@ -139,9 +140,10 @@
 	to.SetState(s)
 }
 
-// Operators race, records repeat or are broken, the log drops old ones, and VMs
-// freeze and are replaced at any moment. A user notices when two VMs hold
-// different manifests for good, or one goes back to an older one.
+// Operators race, records are duplicated or malformed, the log drops old
+// records, and VMs freeze or are replaced at any time. The test guards against
+// two VMs holding different manifests permanently, and against a VM returning
+// to an older one.
 func TestFleetHoldsOneConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{start: 1, states: map[uint64]folder.State{0: {}}, verdicts: map[uint64]folder.Verdict{}}
@@ -173,8 +175,9 @@
 	})
 }
 
-// settle ends the faults: an operator publishes anew, as the pages tell them to
-// where no checkpoint is left, and every VM must then reach one state.
+// settle ends the faults: an operator publishes anew, as the documentation
+// requires when no checkpoint is left, and every VM must then reach the same
+// state.
 func (f *fleet) settle(t *rapid.T) {
 	p := recorder.Publish{Base: f.end(), Anew: true, Manifest: manifest(7), Who: "kim", ID: f.id()}
 	f.append(wrap(t, recorder.KindPublish, p))
--- a/library/folder/folder.go
+++ b/library/folder/folder.go
@@ -1,35 +1,36 @@
-// Package folder works out the configuration in force from the records of the
-// log's stream config. It is a pure function, without network or clock, so that
-// every VM and every operator's program that has read the same records holds
-// the same state, whatever their order of starting.
+// Package folder computes the configuration in force by applying the records of
+// the log's config stream in order. It is a deterministic state machine that
+// uses neither the network nor a clock, so every VM and every operator's
+// program that has read the same records holds the same state, regardless of
+// when it started.
 //
-// Which load it answers: operators and pipelines that publish at once, and VMs
-// that start while others run. Without it two VMs could hold different
-// manifests for good, each sure of its own. It rests on one rule: the offset
-// order of the log decides. A publish takes effect only if it names the version
-// in force as its base, so of two racing ones the first wins and the second is
-// refused everywhere. A version is the offset of its publish, so versions only
-// move forward.
+// Concurrent publishes, and VMs that start while others run, are resolved by
+// the offset order of the log. A publish takes effect only if its base is the
+// version in force, so the first of two racing publishes wins and every reader
+// refuses the second. Without this rule, two VMs could hold different manifests
+// permanently. A version is the offset of its publish, so versions only
+// increase.
 //
-// The log drops old records, so a state can't always be folded from the first
-// one. It may then be founded on a checkpoint, and only where no record between
-// what the checkpoint had read and what the log still keeps is lost. Checkpoints
-// are states after some offset; whichever of several racing ones is taken, the
-// records after it lead to the same state. A checkpoint changes nothing for a
-// reader that has a state.
+// The log drops old records, so a state can't always be computed from the first
+// record. A reader may then start from a checkpoint, but only if the log still
+// keeps every record after the last one that the checkpoint covers. A
+// checkpoint is the state after some offset; whichever of several concurrent
+// checkpoints is used, applying the records after it gives the same state. A
+// checkpoint changes nothing for a reader that has a state and has missed no
+// record.
 //
-// What follows from that:
+// Consequences:
 //
-// After an outage of the log longer than its retention, a VM with a state goes
-// on from it, since nothing was appended that it has not read, and a checkpoint
-// is due at once. Where a record landed just before the outage and was dropped
-// unread, no VM can go on: each keeps its state in force and says so, until an
-// operator publishes anew.
+// After a log outage that is longer than the retention, a VM with a state
+// continues from it, because nothing was appended that it has not read, and a
+// checkpoint is due immediately. If a record was appended just before the
+// outage and dropped before it was read, no VM can continue: each keeps its
+// state in force and reports the gap until an operator publishes anew.
 //
-// After a replacement of all VMs, the new ones found their state on the last
-// checkpoint and the records after it. Where that checkpoint too has been
-// dropped, which takes a retention without any VM that could write to the log,
-// they hold no state, are not ready, and an operator publishes anew.
+// After all VMs are replaced, the new ones start from the last checkpoint and
+// the records after it. If that checkpoint has been dropped too, which takes a
+// whole retention during which no VM could write to the log, they have no state
+// and are not ready until an operator publishes anew.
 package folder
 
 import (
@@ -43,31 +44,33 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// A State is the configuration after the records up to Read. The zero State is
-// that before the first record. States are values: nothing that a State refers
-// to is changed after it has been returned.
+// A State is the configuration after all records up to LastOffset. The zero
+// State is the one before the first record. A State is immutable: nothing that
+// it refers to changes after it has been returned.
 type State struct {
-	// Version is the offset of the publish in force, 0 for none.
+	// Version is the offset of the publish in force, or 0 if there is none.
 	Version uint64
-	// Manifest is the manifest in force, and Packed its TOML in the bytes that
-	// its publish carried.
+	// Manifest is the manifest in force, and ManifestData its TOML in the bytes
+	// of its publish, which may be compressed.
 	Manifest     checker.Manifest
 	ManifestData []byte
-	// Digest is the SHA-256 of the TOML in hex; empty without a manifest.
+	// Digest is the SHA-256 of the uncompressed TOML in hex, or empty if there
+	// is no manifest.
 	Digest string
-	// OutOfService are the names out of service.
+	// OutOfService holds the names out of service.
 	OutOfService recorder.OutOfService
-	// LastOffset is the last offset that was read.
+	// LastOffset is the offset of the last record that was applied.
 	LastOffset uint64
-	// Anew is the offset of the last publish anew, 0 for none.
+	// Anew is the offset of the last publish anew, or 0 if there is none.
 	Anew uint64
-	// Audit is the end of the audit trail, oldest first, at most MaxAudit.
+	// Audit holds the newest entries of the audit trail, oldest first, at most
+	// MaxAudit.
 	Audit []recorder.Change
 }
 
-// IsOut says whether an order holds a name out of service.
+// IsOut reports whether an order has taken a name out of service.
 func (s State) IsOut(kind recorder.Target, name string) bool {
-	_, out := outsOf(&s.OutOfService, kind)[name]
+	_, out := namesOutOfService(&s.OutOfService, kind)[name]
 	return out
 }
 
@@ -78,17 +81,20 @@
 	Data   []byte
 }
 
-// Bounds of what a State holds besides its manifest. Together with the longest
-// manifest they keep a checkpoint under the 1 MiB of a record.
+// Limits on the contents of a State other than its manifest. Together with
+// MaxManifest they keep a checkpoint below the 1 MiB of a record.
 const (
-	// MaxAudit is how many changes the audit trail of a State keeps. It is
-	// also how far behind the end of the stream a record may land: within so
-	// many records, one that was appended twice is known by its ID.
+	// MaxAudit is the number of changes that the audit trail of a State keeps.
+	// It is also how far behind the end of the stream a record may be appended:
+	// a record that was appended twice within that many records is recognised
+	// by its ID.
 	MaxAudit = 256
-	// MaxOutOfService is how many names of each kind may be out of service.
+	// MaxOutOfService is the maximum number of names of each kind that may be
+	// out of service.
 	MaxOutOfService = 500
 
-	// MaxWho and MaxWhy are the longest Who and Why of a record in bytes.
+	// MaxWho and MaxWhy are the maximum lengths of the Who and Why of a record
+	// in bytes.
 	MaxWho = 64
 	MaxWhy = 160
 
@@ -97,9 +103,9 @@
 	maxID     = 64
 )
 
-// manifested returns the state with a manifest in force, or all that is wrong
-// with the manifest.
-func (s State) manifested(version uint64, packed []byte) (State, finder.Findings) {
+// withManifest returns the state with the given manifest in force, or the
+// findings about the manifest.
+func (s State) withManifest(version uint64, packed []byte) (State, finder.Findings) {
 	var found finder.Findings
 	if len(packed) > recorder.MaxManifest {
 		found.Addf("line 1", "takes %d bytes packed, more than the %d allowed", len(packed), recorder.MaxManifest)
@@ -120,8 +126,8 @@
 	return s, nil
 }
 
-// audited returns the state with one more line in its audit trail.
-func (s State) audited(c recorder.Change) State {
+// withAuditEntry returns the state with one more entry in its audit trail.
+func (s State) withAuditEntry(c recorder.Change) State {
 	kept := s.Audit
 	if len(kept) >= MaxAudit {
 		kept = kept[len(kept)-MaxAudit+1:]
@@ -130,15 +136,16 @@
 	return s
 }
 
-// seen says whether the audit trail has a record of this ID from an offset on.
-func (s State) seen(id string, from uint64) bool {
+// hasAudited reports whether the audit trail has a record with this ID at or
+// after the offset from.
+func (s State) hasAudited(id string, from uint64) bool {
 	return slices.ContainsFunc(s.Audit, func(c recorder.Change) bool {
 		return c.ID == id && c.Offset >= from
 	})
 }
 
-// outsOf is the map of a kind, nil for an unknown kind.
-func outsOf(o *recorder.OutOfService, kind recorder.Target) map[string]uint64 {
+// namesOutOfService returns the map of a kind, or nil if the kind is unknown.
+func namesOutOfService(o *recorder.OutOfService, kind recorder.Target) map[string]uint64 {
 	switch kind {
 	case recorder.TargetVM:
 		return o.VMs
@@ -151,7 +158,7 @@
 	}
 }
 
-func setOuts(o *recorder.OutOfService, kind recorder.Target, names map[string]uint64) {
+func setNamesOutOfService(o *recorder.OutOfService, kind recorder.Target, names map[string]uint64) {
 	switch kind {
 	case recorder.TargetVM:
 		o.VMs = names
@@ -162,8 +169,9 @@
 	}
 }
 
-// zones are the availability zones that a manifest knows, sorted.
-func zones(m checker.Manifest) []string {
+// zoneNames returns the sorted availability zones that a manifest lists or
+// uses.
+func zoneNames(m checker.Manifest) []string {
 	all := slices.Clone(m.Zones)
 	for _, u := range m.Upstreams {
 		all = append(all, u.Zone)
--- a/library/folder/folder_test.go
+++ b/library/folder/folder_test.go
@@ -41,7 +41,7 @@
 	return wrap(t, recorder.KindOrder, recorder.Order{Kind: kind, Name: name, Out: out, Who: "kim", ID: id})
 }
 
-// fold applies records at the offsets from 1 on.
+// fold applies records, starting at offset 1.
 func fold(records ...[]byte) (folder.State, folder.Verdict) {
 	var s folder.State
 	var v folder.Verdict
@@ -100,8 +100,9 @@
 	}
 }
 
-// The answer to an append is lost and the record lands hours later, or twice.
-// A zone that was brought back long ago would leave again by itself.
+// The response to an append is lost, and the record is appended hours later, or
+// twice. Without the check, a zone that has been returned to service since
+// would go out of service again.
 func TestLateOrderIsRefused(t *testing.T) {
 	records := [][]byte{publish(t, 0, "p1")}
 	for i := range folder.MaxAudit + 2 {
@@ -114,8 +115,9 @@
 	assert.Equal(t, len(s.Audit), folder.MaxAudit)
 }
 
-// An order lands twice, and between its copies the configuration is published
-// anew, which forgets the first.
+// An order is appended twice, and the configuration is published anew between
+// the two. This resets the audit trail, by which the duplicate would be
+// recognised.
 func TestOrderFromBeforeAPublishAnewIsRefused(t *testing.T) {
 	out := wrap(t, recorder.KindOrder, recorder.Order{Kind: "zone", Name: "a", Out: true, Base: 2, Who: "kim", ID: "o1"})
 	anew := wrap(t, recorder.KindPublish, recorder.Publish{Base: 3, Anew: true, Manifest: manifest(4), Who: "kim", ID: "p2"})
@@ -127,8 +129,9 @@
 	assert.Equal(t, v.Outcome, folder.Accepted, v.Reason)
 }
 
-// A log that answers twice or goes back gives old records again. An order that
-// has been taken back since would hold a zone out that operators see as in.
+// A log that repeats responses or loses its end delivers old records again.
+// Applying an order that has been reverted since would take a zone out of
+// service that operators see in service.
 func TestRepeatedAndMissingOffsetsChangeNothing(t *testing.T) {
 	out := order(t, recorder.TargetZone, "a", true, "o1")
 	s, _ := fold(publish(t, 0, "p1"), out, order(t, recorder.TargetZone, "a", false, "o2"))
@@ -143,7 +146,7 @@
 	}
 }
 
-func TestFound(t *testing.T) {
+func TestBootstrap(t *testing.T) {
 	s, _ := fold(publish(t, 0, "p1"), order(t, recorder.TargetZone, "a", true, "o1"))
 	stored := folder.NewCheckpoint(s)
 	with := func(change func(*recorder.Checkpoint)) recorder.Checkpoint {
@@ -187,8 +190,8 @@
 	}
 }
 
-// A checkpoint that does not fit into one record can't be written, and a fleet
-// would lose its configuration one retention later.
+// A checkpoint that doesn't fit into one record can't be written, and the fleet
+// would lose its configuration after one retention.
 func TestLargestCheckpointFitsARecord(t *testing.T) {
 	c := recorder.Checkpoint{
 		Version: math.MaxUint64 - 1, LastOffset: math.MaxUint64 - 1, Manifest: make([]byte, recorder.MaxManifest),
--- a/library/folder/found.go
+++ b/library/folder/found.go
@@ -9,7 +9,8 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// ErrRestore is the class of checkpoints that can't be a state.
+// ErrRestore is the class of errors about checkpoints that don't describe a
+// valid state.
 var ErrRestore = errs.Class("checkpoint")
 
 // NewCheckpoint returns the checkpoint of a state.
@@ -19,90 +20,93 @@
 	}
 }
 
-// Restore returns the state of a checkpoint. It reads the manifest again and
-// checks every bound, because the checkpoint may come from a broken writer.
+// Restore returns the state of a checkpoint. It parses the manifest again and
+// checks every limit, because the checkpoint may have been written by a faulty
+// VM.
 func Restore(c recorder.Checkpoint) (State, error) {
 	s := State{OutOfService: c.OutOfService, LastOffset: c.LastOffset, Anew: c.Anew, Audit: c.Audit}
 	if c.Version > c.LastOffset || c.LastOffset == math.MaxUint64 {
-		return State{}, ErrRestore.New("version %d, read up to %d", c.Version, c.LastOffset)
+		return State{}, ErrRestore.New("version %d or last offset %d is out of range", c.Version, c.LastOffset)
 	}
 	if c.Anew > c.Version {
-		return State{}, ErrRestore.New("published anew at %d, version %d", c.Anew, c.Version)
+		return State{}, ErrRestore.New("publish anew at offset %d is after version %d", c.Anew, c.Version)
 	}
 	if (c.Version == 0) != (len(c.Manifest) == 0) {
 		return State{}, ErrRestore.New("version %d with a manifest of %d bytes", c.Version, len(c.Manifest))
 	}
 	for _, kind := range []recorder.Target{recorder.TargetVM, recorder.TargetZone, recorder.TargetUpstream} {
-		names := outsOf(&s.OutOfService, kind)
-		if err := restorable(names, c.LastOffset); err != nil {
+		names := namesOutOfService(&s.OutOfService, kind)
+		if err := checkOutOfService(names, c.LastOffset); err != nil {
 			return State{}, err
 		}
 		if len(names) == 0 {
-			setOuts(&s.OutOfService, kind, nil)
+			setNamesOutOfService(&s.OutOfService, kind, nil)
 		}
 	}
-	if err := trail(c); err != nil {
+	if err := checkAudit(c); err != nil {
 		return State{}, err
 	}
 	if c.Version == 0 {
 		return s, nil
 	}
-	s, found := s.manifested(c.Version, c.Manifest)
+	s, found := s.withManifest(c.Version, c.Manifest)
 	return s, ErrRestore.Wrap(found.Err())
 }
 
-func restorable(names map[string]uint64, read uint64) error {
+func checkOutOfService(names map[string]uint64, lastOffset uint64) error {
 	if len(names) > MaxOutOfService {
-		return ErrRestore.New("%d names out, at most %d", len(names), MaxOutOfService)
+		return ErrRestore.New("%d names out of service, at most %d are allowed", len(names), MaxOutOfService)
 	}
 	for name, offset := range names {
-		if !checker.ValidName(name) || offset == 0 || offset > read {
-			return ErrRestore.New("%q out by offset %d, read up to %d", cut(name, maxWhat), offset, read)
+		if !checker.ValidName(name) || offset == 0 || offset > lastOffset {
+			return ErrRestore.New("name %q out of service by offset %d is invalid, last offset is %d", truncate(name, maxWhat), offset, lastOffset)
 		}
 	}
 	return nil
 }
 
-func trail(c recorder.Checkpoint) error {
+func checkAudit(c recorder.Checkpoint) error {
 	if len(c.Audit) > MaxAudit {
-		return ErrRestore.New("%d changes, at most %d", len(c.Audit), MaxAudit)
+		return ErrRestore.New("%d audit entries, at most %d are allowed", len(c.Audit), MaxAudit)
 	}
 	var last uint64
 	for _, a := range c.Audit {
 		if a.Offset <= last || a.Offset > c.LastOffset {
-			return ErrRestore.New("change of offset %d after %d, read up to %d", a.Offset, last, c.LastOffset)
+			return ErrRestore.New("audit entry of offset %d is out of order after %d, last offset is %d", a.Offset, last, c.LastOffset)
 		}
 		last = a.Offset
-		if !plain(a.Who, MaxWho) || !plain(a.What, maxWhat) || !id(a.ID) ||
-			!plainOrEmpty(a.Why, MaxWhy) || !plainOrEmpty(a.Reason, maxReason) {
-			return ErrRestore.New("change of offset %d can't be shown", a.Offset)
+		if !isPrintable(a.Who, MaxWho) || !isPrintable(a.What, maxWhat) || !isID(a.ID) ||
+			!isPrintableOrEmpty(a.Why, MaxWhy) || !isPrintableOrEmpty(a.Reason, maxReason) {
+			return ErrRestore.New("audit entry of offset %d has text that is missing, too long or not printable", a.Offset)
 		}
 	}
 	return nil
 }
 
-// Bootstrap tries to found a state on one record, for a reader that can't go on
-// from its own: it has none, or the log has dropped records that it has not
-// read. Start is the first offset that the log still keeps, and looked the one
-// from which on the reader has looked at every record. The reader goes on after
-// the Read of the state returned, which is often before the record.
+// Bootstrap derives a state from a single record, for a reader that has no
+// state, or that can't continue from its own because the log has dropped
+// records that it has not read. Start is the first offset that the log still
+// keeps, and searchedFrom the offset from which on the reader has examined
+// every record. The reader continues after the LastOffset of the returned
+// state, which is often before the record.
 //
-// A checkpoint serves where the log still keeps every record after its Read. A
-// reader that took an older one would miss a publish or an order in between,
-// and would refuse what all others accept. A publish anew serves where the
-// reader has looked at every record since it was written, so that a second copy
-// of it is told from the first.
+// A checkpoint is usable if the log still keeps every record after its
+// LastOffset. A reader that used an older one would miss a publish or an order
+// in between, and would refuse records that all others accept. A publish anew
+// is usable if the reader has examined every record since it was written, so
+// that a duplicate of it is recognised as such.
 //
-// A reader that has a state passes it as old, and only ever moves forward.
-func Bootstrap(old *State, start, looked uint64, r Record) (State, bool) {
-	s, ok := founded(start, looked, r)
+// A reader that has a state passes it as old, and the result is never behind
+// it.
+func Bootstrap(old *State, start, searchedFrom uint64, r Record) (State, bool) {
+	s, ok := bootstrap(start, searchedFrom, r)
 	if !ok || (old != nil && (s.LastOffset <= old.LastOffset || s.Version < old.Version)) {
 		return State{}, false
 	}
 	return s, true
 }
 
-func founded(start, looked uint64, r Record) (State, bool) {
+func bootstrap(start, searchedFrom uint64, r Record) (State, bool) {
 	kind, err := recorder.Kind(r.Data)
 	if err != nil {
 		return State{}, false
@@ -117,7 +121,7 @@
 		return s, err == nil
 	case recorder.KindPublish:
 		p, err := recorder.Unwrap[recorder.Publish](r.Data)
-		if err != nil || !p.Anew || p.Base < looked {
+		if err != nil || !p.Anew || p.Base < searchedFrom {
 			return State{}, false
 		}
 		s, v := Apply(State{LastOffset: r.Offset - 1}, r)
--- a/library/folder/reader_test.go
+++ b/library/folder/reader_test.go
@@ -10,13 +10,13 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// stream is a log that drops nothing and counts the records it has given.
+// stream is a log that drops nothing and counts the records it has delivered.
 type stream struct {
-	records [][]byte
-	given   int
+	records   [][]byte
+	delivered int
 }
 
-// read has a reader read to the end, or until it is lost.
+// read makes a reader read to the end, or until its search is exhausted.
 func (l *stream) read(t *testing.T, r *folder.Reader, start uint64) {
 	end := uint64(len(l.records)) + 1
 	for range 10 * len(l.records) {
@@ -25,18 +25,18 @@
 		for at := max(from, start); at < end && len(b.Records) < 16; at++ {
 			b.Records = append(b.Records, folder.Record{Offset: at, Data: l.records[at-1]})
 		}
-		l.given += len(b.Records)
+		l.delivered += len(b.Records)
 		_, err := r.Process(from, b)
 		assert.NilError(t, err)
 		if r.Exhausted() || (r.State() != nil && r.State().LastOffset+1 >= end) {
 			return
 		}
 	}
-	t.Fatal("the reading does not end")
+	t.Fatal("the reader does not reach the end")
 }
 
-// A fleet publishes hundreds of large manifests an hour. A VM that folds all of
-// them before it is ready is missing from the fleet for minutes.
+// A fleet publishes hundreds of large manifests an hour. A VM that applied all
+// of them before it was ready would be unavailable for minutes after a start.
 func TestReaderStartsNearTheEnd(t *testing.T) {
 	l := &stream{records: [][]byte{publish(t, 0, "p1")}}
 	var s folder.State
@@ -46,7 +46,8 @@
 	for i, data := range l.records {
 		s, _ = folder.Apply(s, folder.Record{Offset: uint64(i + 1), Data: data})
 	}
-	// No checkpoint yet: each look goes further back, at last to the first.
+	// Without a checkpoint, each search starts further back, and the last one at
+	// the first record.
 	whole := folder.NewReader(folder.CheckpointWindow)
 	l.read(t, whole, 1)
 	assert.Equal(t, whole.State().Version, uint64(1))
@@ -60,13 +61,13 @@
 		l.records = append(l.records, order(t, recorder.TargetVM, "entry-1", i%2 == 0, fmt.Sprint("v", i)))
 	}
 	l.read(t, whole, 1)
-	l.given = 0
+	l.delivered = 0
 	near := folder.NewReader(folder.CheckpointWindow)
 	l.read(t, near, 1)
-	assert.Assert(t, l.given <= 3*folder.CheckpointWindow, "%d records read", l.given)
+	assert.Assert(t, l.delivered <= 3*folder.CheckpointWindow, "%d records read", l.delivered)
 	assert.Equal(t, near.State().LastOffset, whole.State().LastOffset)
 	assert.DeepEqual(t, near.State().Audit[255], whole.State().Audit[255])
-	// One that was lost before goes on once a checkpoint is there.
+	// A reader whose search was exhausted continues once there is a checkpoint.
 	l.read(t, lost, 2)
 	assert.Equal(t, lost.State().LastOffset, whole.State().LastOffset)
 }
