--- a/entry/request/chatter/registry.go
+++ b/entry/request/chatter/registry.go
@@ -2,33 +2,33 @@
 
 import "sync"
 
-// A registry holds the ids of what this process has at engines. The sweep of an
-// engine's list cancels what stands there under this process's boot number and
-// is not in here.
-type registry struct {
+// An idSet holds the IDs of the streams and prompt parts that this process has
+// at engines. The sweep of an engine cancels whatever the engine lists under
+// this process's boot number that is not in the set.
+type idSet struct {
 	mu  sync.Mutex
 	ids map[string]struct{}
 }
 
-func newRegistry() *registry {
-	return &registry{ids: make(map[string]struct{})}
+func newIDSet() *idSet {
+	return &idSet{ids: make(map[string]struct{})}
 }
 
-func (r *registry) add(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.ids[id] = struct{}{}
+func (s *idSet) add(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ids[id] = struct{}{}
 }
 
-func (r *registry) remove(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.ids, id)
+func (s *idSet) remove(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.ids, id)
 }
 
-func (r *registry) has(id string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	_, ok := r.ids[id]
+func (s *idSet) contains(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_, ok := s.ids[id]
 	return ok
 }
