--- a/entry/request/passer/passer.go
+++ b/entry/request/passer/passer.go
@@ -1,7 +1,8 @@
-// Package passer passes calls through to plain services. A call that may not be
-// repeated is sent at most once, whatever happens, and "not run" is said only
-// where no byte of it can have left: the caller who is told so may safely try
-// again, and a booking made twice charges a member twice.
+// Package passer is a reverse proxy for plain services. A call that is not
+// repeatable is sent at most once in all cases, because a booking made twice
+// charges the customer twice. A call is reported as "not run" only if no byte
+// of it can have been sent or the service itself says so: the caller may then
+// safely retry it.
 package passer
 
 import (
@@ -23,34 +24,35 @@
 	"github.com/heathervane/heathervane/entry/version/viewer"
 )
 
-// Prefix is where calls of services stand.
-const Prefix = "/services/"
+// PathPrefix is the URL path of calls to services; the name of the service
+// follows it.
+const PathPrefix = "/services/"
 
-// Headers that a call carries to its service.
+// Headers of calls and of the responses of services.
 const (
-	keyHeader  = "Idempotency-Key"
-	callHeader = "Call"
-	teamHeader = "Heathervane-Team"
-	ranHeader  = "Ran"
+	idempotencyKeyHeader = "Idempotency-Key"
+	callIDHeader         = "Call"
+	teamHeader           = "Heathervane-Team"
+	ranHeader            = "Ran"
 )
 
-// An Acquirer gives places at upstreams.
+// An Acquirer acquires slots at upstreams.
 type Acquirer interface {
 	Acquire(ctx context.Context, c dispatcher.Call) (*dispatcher.Grant, *refuser.Refusal)
 }
 
-// A Watcher hears evidence that an upstream has turned cold.
-type Watcher interface {
-	Turned(upstream string, boot uint64, cause string)
+// An Observer is notified of evidence that an upstream is in cold start.
+type Observer interface {
+	ReportCold(upstream string, boot uint64, cause string)
 }
 
-// A Retrier decides whether a call is sent again.
+// A Retrier decides whether a failed call is retried.
 type Retrier interface {
 	Decide(now time.Time, a retrier.Attempt) retrier.Decision
 	Completed(n int)
 }
 
-// A Quarantine keeps requests from upstreams that crash whoever runs them, at all
+// A Quarantine holds back calls that crash the upstreams that run them, on all
 // VMs.
 type Quarantine interface {
 	Arrived(f fingerprinter.Fingerprint) (after time.Duration, held bool)
@@ -59,58 +61,57 @@
 	Served(f fingerprinter.Fingerprint)
 }
 
-// A Meter counts.
+// A Meter records metrics.
 type Meter interface {
 	Count(name string, n int64)
 	Time(name string, d time.Duration)
 }
 
-// Deps are what a Passer works with.
+// Deps are the dependencies of a Proxy.
 type Deps struct {
-	Views        func() *viewer.View
+	View         func() *viewer.View
 	Reader       *reader.Reader
 	Acquirer     Acquirer
-	Watcher      Watcher
+	Observer     Observer
 	Retrier      Retrier
 	Deduplicator Deduplicator
-	// Quarantine knows the requests that crash upstreams.
-	Quarantine Quarantine
-	Meter      Meter
-	Now        func() time.Time
+	Quarantine   Quarantine
+	Meter        Meter
+	Now          func() time.Time
 }
 
-// A Passer passes calls through.
-type Passer struct {
-	vm       string
-	boot     uint64
-	deps     Deps
-	again    *http.Client
-	once     *http.Client
-	sequence atomic.Uint64
+// A Proxy forwards calls to services.
+type Proxy struct {
+	vm              string
+	boot            uint64
+	deps            Deps
+	pooledClient    *http.Client
+	singleUseClient *http.Client
+	sequence        atomic.Uint64
 }
 
-// New returns a Passer for a VM's process.
-func New(vm string, boot uint64, d Deps) *Passer {
-	return &Passer{vm: vm, boot: boot, deps: d, again: newClient(true), once: newClient(false)}
+// New returns a Proxy for the process with the given VM ID and boot number.
+func New(vm string, boot uint64, d Deps) *Proxy {
+	return &Proxy{vm: vm, boot: boot, deps: d, pooledClient: newClient(true), singleUseClient: newClient(false)}
 }
 
-// newClient returns a client of services. One for calls that may not be
-// repeated never uses a connection twice: net/http sends a request again on its
-// own when a kept connection turns out to be dead and the request has an empty
-// body and an Idempotency-Key, or may be replayed otherwise. Nobody would see
-// that but the member who is charged twice.
-func newClient(reuse bool) *http.Client {
+// newClient returns an HTTP client for services. Calls that are not repeatable
+// need one without keep-alive: net/http resends a request by itself if a reused
+// connection turns out to be closed and the request is replayable, for example
+// because it has an empty body and an Idempotency-Key header. This would go
+// unnoticed until a customer is charged twice.
+func newClient(keepAlive bool) *http.Client {
 	t := &http.Transport{
 		MaxIdleConnsPerHost: 64,
 		IdleConnTimeout:     time.Minute,
-		DisableKeepAlives:   !reuse,
+		DisableKeepAlives:   !keepAlive,
 		DisableCompression:  true,
 	}
-	stay := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &http.Client{Transport: t, CheckRedirect: stay}
+	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &http.Client{Transport: t, CheckRedirect: noRedirect}
 }
 
-// A call is one call on its way.
+// A call is the state of one call in progress.
 type call struct {
 	id       string
 	method   string
@@ -123,16 +124,16 @@
 	body     *reader.Body
 	arrived  time.Time
 	deadline time.Time
-	// repeatable says that it may be sent more than once.
+	// repeatable reports whether the call may be sent more than once.
 	repeatable bool
-	tries      int
+	attempts   int
 	avoid      []string
-	// fingerprint names what is asked for.
+	// fingerprint identifies the call in the quarantine.
 	fingerprint fingerprinter.Fingerprint
 }
 
-// ServeHTTP answers one call.
-func (p *Passer) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+// ServeHTTP forwards one call and writes the response.
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	arrived := p.deps.Now()
 	w.Header().Set(refuser.VMHeader, p.vm)
 	p.deps.Meter.Count("service.calls", 1)
@@ -144,26 +145,27 @@
 	defer c.body.Release()
 	ctx, cancel := context.WithDeadline(q.Context(), c.deadline)
 	defer cancel()
-	if key := q.Header.Get(keyHeader); key != "" && !c.repeatable {
-		p.keyed(ctx, w, c, key)
+	if key := q.Header.Get(idempotencyKeyHeader); key != "" && !c.repeatable {
+		p.serveKeyed(ctx, w, c, key)
 		return
 	}
-	// A repeated key gets its first outcome, also while the call is held.
+	// A call that is not repeatable and has a key does not get here, so that a
+	// repeated key gets its first outcome even while the call is in quarantine.
 	if after, held := p.deps.Quarantine.Arrived(c.fingerprint); held {
-		p.refuse(w, quarantined(after))
+		p.refuse(w, quarantineRefusal(after))
 		return
 	}
-	outcome := p.run(ctx, c, nil)
-	p.answer(w, outcome)
+	result := p.run(ctx, c, nil)
+	p.writeResult(w, result)
 }
 
-func (p *Passer) refuse(w http.ResponseWriter, r *refuser.Refusal) {
+func (p *Proxy) refuse(w http.ResponseWriter, r *refuser.Refusal) {
 	p.deps.Meter.Count("service.refused."+r.Code, 1)
 	r.Write(w)
 }
 
-func (p *Passer) accept(w http.ResponseWriter, q *http.Request, arrived time.Time) (*call, *refuser.Refusal) {
-	v := p.deps.Views()
+func (p *Proxy) accept(w http.ResponseWriter, q *http.Request, arrived time.Time) (*call, *refuser.Refusal) {
+	v := p.deps.View()
 	if v == nil {
 		return nil, authenticator.NotReady()
 	}
@@ -171,7 +173,7 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	name, path, _ := strings.Cut(strings.TrimPrefix(q.URL.EscapedPath(), Prefix), "/")
+	name, path, _ := strings.Cut(strings.TrimPrefix(q.URL.EscapedPath(), PathPrefix), "/")
 	pool, ok := v.Service(name)
 	if !ok {
 		return nil, refuser.New(http.StatusNotFound, "service_not_found", "there is no service %.60q", name)
@@ -180,7 +182,7 @@
 		return nil, refuser.BadRequest("Upgrade", "unsupported", "calls cannot change their protocol")
 	}
 	s := v.Manifest.Services[name]
-	limit, refusal := authenticator.Limit(q, s.Limit, s.Least, s.Most)
+	limit, refusal := authenticator.Timeout(q, s.Limit, s.Least, s.Most)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -189,9 +191,9 @@
 		return nil, refusal
 	}
 	c := &call{
-		id: p.id(), method: q.Method, path: "/" + path, service: name, team: team, pool: pool, view: v,
+		id: p.nextID(), method: q.Method, path: "/" + path, service: name, team: team, pool: pool, view: v,
 		header: trimmer.EndToEndHeaders(q.Header), body: body, arrived: arrived, deadline: arrived.Add(limit),
-		repeatable: v.Repeatable(name, q.Method, q.URL.Path[min(len(q.URL.Path), len(Prefix)+len(name)):]),
+		repeatable: v.Repeatable(name, q.Method, q.URL.Path[min(len(q.URL.Path), len(PathPrefix)+len(name)):]),
 	}
 	if q.URL.RawQuery != "" {
 		c.path += "?" + q.URL.RawQuery
@@ -200,15 +202,15 @@
 	return c, nil
 }
 
-func quarantined(after time.Duration) *refuser.Refusal {
+func quarantineRefusal(after time.Duration) *refuser.Refusal {
 	return refuser.New(http.StatusServiceUnavailable, "quarantined", "the call has crashed the upstreams that ran it").WithRetryAfter(after)
 }
 
-func (p *Passer) id() string {
+func (p *Proxy) nextID() string {
 	n := p.sequence.Add(1)
 	return p.vm + "-" + strconv.FormatUint(p.boot, 36) + "-c" + strconv.FormatUint(n, 36)
 }
 
-func (c *call) ask() admitter.Request {
+func (c *call) admitterRequest() admitter.Request {
 	return admitter.Request{Team: c.team.Name, Share: c.team.Share, Arrived: c.arrived, Deadline: c.deadline}
 }
--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -122,13 +122,13 @@
 func (r *Relayer) acquire(ctx context.Context, j *job) (*attempt, *refuser.Refusal) {
 	waitStart := r.deps.Now()
 	giveUpAt := time.Time{}
-	if j.route.Patience > 0 && !j.headerSent {
-		giveUpAt = j.arrivedAt.Add(j.route.Patience)
+	if j.route.CallerTimeout > 0 && !j.headerSent {
+		giveUpAt = j.arrivedAt.Add(j.route.CallerTimeout)
 	}
 	grant, refused := r.deps.Allocator.Acquire(ctx, scheduler.Request{
 		Service: j.service, Priority: j.priority(), Team: j.teamName(),
 		Requirements: placer.Request{
-			Prompt: j.info.PromptTokens, Output: j.info.MaxOutputTokens, Tried: j.tried, MaxPause: float64(j.route.Gap.Milliseconds()),
+			Prompt: j.info.PromptTokens, Output: j.info.MaxOutputTokens, Tried: j.tried, MaxPause: float64(j.route.GapTarget.Milliseconds()),
 			Arrived: j.arrivedAt, Objective: j.arrivedAt.Add(j.route.Objective), Deadline: j.deadline, CallerTimeout: giveUpAt,
 		},
 	})
@@ -306,14 +306,14 @@
 		Header: r.deps.Protocol.ForwardHeader(j.request.Header, o), Body: j.body.Data,
 		// A request that may run only once is sent on a new connection. If a reused
 		// one turned out to be closed, it would be unknown whether the request ran.
-		Fresh: !j.route.Repeatable(),
-		Idle:  r.deps.MaxIdleConns(j.service.Connections, a.grant.Upstream.ID),
+		NewConnection: !j.route.Repeatable(),
+		MaxIdle:       r.deps.MaxIdleConns(j.service.MaxConnections, a.grant.Upstream.ID),
 	}
 	return q
 }
 
 // handleSendFailure handles an attempt without a response.
-func (r *Relayer) handleSendFailure(ctx context.Context, j *job, a *attempt, f *carrier.Failure) outcome {
+func (r *Relayer) handleSendFailure(ctx context.Context, j *job, a *attempt, f *carrier.SendError) outcome {
 	id := a.grant.Upstream.ID
 	if f.Sent {
 		j.possibleRuns++
@@ -341,7 +341,7 @@
 // request. It ignores errors other than a connection lost after the request was
 // sent: an upstream that responds wrongly has not crashed.
 func (r *Relayer) recordLoss(j *job, a *attempt, err error) {
-	var f *carrier.Failure
+	var f *carrier.SendError
 	if (errors.As(err, &f) && !f.Sent) || !isConnectionLoss(err) {
 		return
 	}
@@ -363,7 +363,7 @@
 // the upstream are dropped: if only the network path from this VM is broken, each of
 // them would stall in turn, while opening a new one detects it.
 func (r *Relayer) handleStall(j *job, a *attempt) {
-	r.deps.Carrier.Drop(a.grant.Upstream.Address)
+	r.deps.Carrier.CloseIdle(a.grant.Upstream.Address)
 	blamed := r.deps.Tracker.ReportStall(r.deps.Now(), a.sentAt, a.upstreams())
 	if slices.Contains(blamed, a.grant.Upstream.ID) {
 		j.log.losses = r.deps.Quarantine.Lost(j.fingerprint, a.grant.Upstream.ID, a.grant.Upstream.StartedAt)
@@ -400,7 +400,7 @@
 // allowRetry reports whether the request may be sent once more. If so, the retry is
 // taken from the budget.
 func (r *Relayer) allowRetry(ctx context.Context, j *job) bool {
-	if ctx.Err() != nil || j.declines > maxDeclines || j.possibleRuns >= max(1, j.route.Attempts) {
+	if ctx.Err() != nil || j.declines > maxDeclines || j.possibleRuns >= max(1, j.route.MaxAttempts) {
 		return false
 	}
 	if _, held := r.deps.Quarantine.Held(j.fingerprint); held {
--- a/entry/request/router/fleet_test.go
+++ b/entry/request/router/fleet_test.go
@@ -71,7 +71,7 @@
 	name     string
 	adm      *admitter.Admitter
 	pick     router.Picker
-	gauge    *gauger.Gauger
+	gauge    *gauger.SpeedEstimator
 	byEngine []engineCalls
 	cands    []router.Candidate
 }
@@ -315,13 +315,13 @@
 		}
 	}
 	for t := -10 * time.Minute; t < 0; t += time.Second {
-		f.reserve(f.split.Step(epoch.Add(t), l))
+		f.reserve(f.split.Update(epoch.Add(t), l))
 	}
 }
 
 // resplit adapts the number of reserved engines to the load.
 func (f *fleet) resplit() {
-	n := f.split.Step(f.clock(), splitter.Load{
+	n := f.split.Update(f.clock(), splitter.Load{
 		ShortTokens: float64(f.offered[0]) / tick.Seconds(),
 		LongTokens:  float64(f.offered[1]) / tick.Seconds(),
 		Engines:     len(f.engs),
@@ -370,7 +370,7 @@
 	for i, e := range f.engs {
 		for _, c := range v.byEngine[i].calls {
 			if c.first == 0 || c.first > f.now {
-				v.gauge.Waiting(f.clock(), e.name, int(c.placedBacklog), f.now-c.sent, prefill)
+				v.gauge.ObservePending(f.clock(), e.name, int(c.placedBacklog), f.now-c.sent, prefill)
 			} else if f.now-c.first >= tick {
 				got := tick.Seconds() * decode / e.slowdown
 				v.gauge.Observe(f.clock(), e.name, 1, time.Duration(float64(tick)/got), decode)
