--- a/entry/request/admitter/admitter.go
+++ b/entry/request/admitter/admitter.go
@@ -1,7 +1,7 @@
 // Package admitter decides which requests may wait for an upstream, in which
 // order they wait, and which are rejected immediately. It handles saturation
-// (three times the load that fits), bursts, a team that sends most of the
-// load, and million-token prompts among short ones. Without it a queue would
+// (three times the capacity), bursts, a team that sends most of the load, and
+// million-token prompts among short ones. Without it a queue would
 // grow until everything in it misses its deadline, one team's backlog would
 // delay all others, and a short question would wait behind a document that
 // takes a minute to read.
@@ -22,7 +22,7 @@
 	"time"
 )
 
-// Request is a request that asks for admission.
+// Request describes a request to be admitted.
 type Request struct {
 	// ID is unique among the requests of one Admitter.
 	ID uint64
--- a/entry/request/router/load_test.go
+++ b/entry/request/router/load_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// Three times the load that fits arrives continuously. Guards against spending
+// Three times the fleet's capacity arrives continuously. Guards against spending
 // the fleet on answers that miss their deadline, and against starvation of long
 // documents.
 func TestSaturation(t *testing.T) {
@@ -174,9 +174,9 @@
 	}
 }
 
-// Five times the load that fits arrives within three seconds. Guards against
-// admitted requests that are never answered in time, and against retries that are
-// rejected again although the caller waited as told.
+// A burst of five times the fleet's capacity arrives for three seconds. Guards
+// against admitted requests that are never answered in time, and against retries
+// that are rejected again although the caller waited as told.
 func TestBurst(t *testing.T) {
 	t.Parallel()
 	const span = 90 * time.Second
