--- a/bench/spread_test.go
+++ b/bench/spread_test.go
@@ -66,7 +66,7 @@
 func TestHostileRecordsStopNoVM(t *testing.T) {
 	b := start(t)
 	log := appender.New("http://"+b.Log.Line.Address, http.DefaultClient)
-	for _, data := range [][]byte{nil, []byte("\xff\xffhello"), []byte("seats = 5"), make([]byte, appender.MostData)} {
+	for _, data := range [][]byte{nil, []byte("\xff\xffhello"), []byte("seats = 5"), make([]byte, appender.MaxRecordBytes)} {
 		_, err := log.Append(b.ctx, recorder.ConfigStream, data)
 		assert.NilError(t, err)
 	}
--- a/entry/process/server/coordination.go
+++ b/entry/process/server/coordination.go
@@ -25,7 +25,7 @@
 )
 
 // newCoordination creates the parts that coordinate with other VMs.
-func (v *Server) newCoordination(list *lister.List) {
+func (v *Server) newCoordination(list *lister.Client) {
 	s := v.settings
 	address := v.listeners.peers.Addr().String()
 	v.linker = linker.New(linker.Config{
--- a/entry/version/reloader/reloader_test.go
+++ b/entry/version/reloader/reloader_test.go
@@ -43,9 +43,9 @@
 
 func files(folder string) reloader.Files {
 	return reloader.Files{
-		Certificate: filepath.Join(folder, signer.Certificate),
-		Key:         filepath.Join(folder, signer.Key),
-		Authority:   filepath.Join(folder, signer.Authority),
+		Certificate: filepath.Join(folder, signer.CertificateFile),
+		Key:         filepath.Join(folder, signer.KeyFile),
+		Authority:   filepath.Join(folder, signer.AuthorityFile),
 	}
 }
 
--- a/library/appender/appender.go
+++ b/library/appender/appender.go
@@ -32,8 +32,8 @@
 )
 
 const (
-	// MostData is the longest data of one record, in bytes.
-	MostData = 1 << 20
+	// MaxRecordBytes is the longest data of one record, in bytes.
+	MaxRecordBytes = 1 << 20
 	// maxBatch bounds the answer to a read in bytes, so that a broken or
 	// hostile log can't exhaust a small VM's memory.
 	maxBatch = 8 << 20
@@ -81,8 +81,8 @@
 // of the class ErrRefused or ErrUnknown; after the latter the record may still
 // appear in the stream, at any later time.
 func (l *Log) Append(ctx context.Context, stream string, data []byte) (offset uint64, err error) {
-	if len(data) > MostData {
-		return 0, ErrRefused.New("%s: %d bytes of data, at most %d", stream, len(data), MostData)
+	if len(data) > MaxRecordBytes {
+		return 0, ErrRefused.New("%s: %d bytes of data, at most %d", stream, len(data), MaxRecordBytes)
 	}
 	if err := ctx.Err(); err != nil {
 		return 0, ErrRefused.Wrap(err)
--- a/library/appender/appender_test.go
+++ b/library/appender/appender_test.go
@@ -81,7 +81,7 @@
 	l.Close()
 	_, err = appender.New("http://"+address, &http.Client{}).Append(t.Context(), "s", []byte("x"))
 	assert.Assert(t, appender.ErrRefused.Has(err), "%v", err)
-	_, err = appender.New("http://"+address, &http.Client{}).Append(t.Context(), "s", make([]byte, appender.MostData+1))
+	_, err = appender.New("http://"+address, &http.Client{}).Append(t.Context(), "s", make([]byte, appender.MaxRecordBytes+1))
 	assert.Assert(t, appender.ErrRefused.Has(err), "%v", err)
 }
 
--- a/library/lister/lister.go
+++ b/library/lister/lister.go
@@ -42,20 +42,20 @@
 	State string `json:"state"`
 }
 
-// A List is the platform's list. It is safe for concurrent use.
-type List struct {
+// A Client is the platform's list. It is safe for concurrent use.
+type Client struct {
 	base   string
 	client *http.Client
 }
 
 // New returns the list at a base URL such as http://10.0.0.6:7000.
-func New(base string, client *http.Client) *List {
-	return &List{base: base, client: client}
+func New(base string, client *http.Client) *Client {
+	return &Client{base: base, client: client}
 }
 
 // VMs returns the VMs as the platform lists them now. An error says nothing
 // about any VM.
-func (l *List) VMs(ctx context.Context) ([]VM, error) {
+func (l *Client) VMs(ctx context.Context) ([]VM, error) {
 	req, err := sling.New().Get(l.base + "/vms").Request()
 	if err != nil {
 		return nil, ErrList.Wrap(err)
--- a/library/signer/signer.go
+++ b/library/signer/signer.go
@@ -24,9 +24,9 @@
 
 // Names of the files that Issue writes.
 const (
-	Certificate = "certificate.pem"
-	Key         = "key.pem"
-	Authority   = "authority.pem"
+	CertificateFile = "certificate.pem"
+	KeyFile         = "key.pem"
+	AuthorityFile   = "authority.pem"
 )
 
 // lasting is how long an authority lasts.
@@ -81,9 +81,9 @@
 		return Error.Wrap(err)
 	}
 	return errs.Combine(
-		write(folder, Certificate, encode("CERTIFICATE", der)),
-		write(folder, Key, encode("PRIVATE KEY", secret)),
-		write(folder, Authority, s.PEM),
+		write(folder, CertificateFile, encode("CERTIFICATE", der)),
+		write(folder, KeyFile, encode("PRIVATE KEY", secret)),
+		write(folder, AuthorityFile, s.PEM),
 	)
 }
 
--- a/operator/changer/changer.go
+++ b/operator/changer/changer.go
@@ -179,7 +179,7 @@
 func (c *Changer) append(ctx context.Context, data []byte) (uint64, error) {
 	for {
 		offset, err := c.log.Append(ctx, recorder.ConfigStream, data)
-		if !appender.ErrRefused.Has(err) || !rest(ctx) || len(data) > appender.MostData {
+		if !appender.ErrRefused.Has(err) || !rest(ctx) || len(data) > appender.MaxRecordBytes {
 			return offset, err
 		}
 	}
