--- a/library/appender/appender_test.go
+++ b/library/appender/appender_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// serve answers every request in one way.
+// serve starts a server with the given handler and returns a client for it.
 func serve(t *testing.T, h http.HandlerFunc) *appender.Log {
 	t.Helper()
 	s := httptest.NewServer(h)
@@ -25,8 +25,8 @@
 	return appender.New(s.URL, s.Client())
 }
 
-// answers sends a status and a body.
-func answers(status int, body string) http.HandlerFunc {
+// respond returns a handler that sends a fixed status and body.
+func respond(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body) //nolint:errcheck // a test server
 		w.WriteHeader(status)
@@ -34,34 +34,34 @@
 	}
 }
 
-// An append fails in many ways. Its caller says "not run" to a booking only
-// where the record can't have landed; a record taken for lost that did land
-// would have the booking run twice.
+// Append errors must separate records that were certainly not stored from those
+// that may have been. A caller reports a booking as not run only for the former;
+// misclassifying a stored record would make the booking run twice.
 func TestAppend(t *testing.T) {
-	lost := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	tests := []struct {
 		name             string
 		handler          http.HandlerFunc
 		offset           uint64
 		refused, unknown bool
 	}{
-		{"lands", answers(200, `{"offset":7}`), 7, false, false},
-		{"rate", answers(429, ""), 0, true, false},
-		{"down", answers(503, ""), 0, true, false},
-		{"bad", answers(400, ""), 0, true, false},
-		{"broken", answers(500, ""), 0, false, true},
-		{"gateway", answers(502, ""), 0, false, true},
-		{"no offset", answers(200, `{}`), 0, false, true},
-		{"sent on", func(w http.ResponseWriter, r *http.Request) {
+		{"stored", respond(200, `{"offset":7}`), 7, false, false},
+		{"rate limited", respond(429, ""), 0, true, false},
+		{"unavailable", respond(503, ""), 0, true, false},
+		{"bad request", respond(400, ""), 0, true, false},
+		{"server error", respond(500, ""), 0, false, true},
+		{"bad gateway", respond(502, ""), 0, false, true},
+		{"no offset", respond(200, `{}`), 0, false, true},
+		{"redirected", func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/elsewhere" {
 				http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
 				return
 			}
 			io.WriteString(w, `{"offset":7}`)
 		}, 0, false, true},
-		{"no JSON", answers(200, `<html>`), 0, false, true},
-		{"too long", answers(200, strings.Repeat(" ", 1<<20)), 0, false, true},
-		{"lost", lost, 0, false, true},
+		{"invalid JSON", respond(200, `<html>`), 0, false, true},
+		{"too large", respond(200, strings.Repeat(" ", 1<<20)), 0, false, true},
+		{"connection aborted", abort, 0, false, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestAppendNobodyListens(t *testing.T) {
+func TestAppendConnectionRefused(t *testing.T) {
 	var config net.ListenConfig
 	l, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -92,16 +92,16 @@
 	}{
 		{"empty", `{"start":1,"end":5,"records":[]}`, 0},
 		{"two", `{"start":1,"end":7,"records":[{"offset":5,"at":1500,"data":"eA=="},{"offset":6}]}`, 2},
-		{"forgotten", `{"start":6,"end":7,"records":[{"offset":6}]}`, 1},
+		{"dropped records", `{"start":6,"end":7,"records":[{"offset":6}]}`, 1},
 		{"gap", `{"start":1,"end":8,"records":[{"offset":5},{"offset":7}]}`, -1},
-		{"goes back", `{"start":1,"end":8,"records":[{"offset":4}]}`, -1},
-		{"past its end", `{"start":1,"end":5,"records":[{"offset":5}]}`, -1},
-		{"no JSON", `<html>`, -1},
-		{"too long", strings.Repeat(" ", 9<<20), -1},
+		{"offset goes back", `{"start":1,"end":8,"records":[{"offset":4}]}`, -1},
+		{"offset past the end", `{"start":1,"end":5,"records":[{"offset":5}]}`, -1},
+		{"invalid JSON", `<html>`, -1},
+		{"too large", strings.Repeat(" ", 9<<20), -1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b, err := serve(t, answers(200, test.body)).Read(t.Context(), "s", 5, 100, 0)
+			b, err := serve(t, respond(200, test.body)).Read(t.Context(), "s", 5, 100, 0)
 			if test.offsets < 0 {
 				assert.Assert(t, appender.ErrRead.Has(err), "%v", err)
 				return
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestReadAsksForLess(t *testing.T) {
+func TestReadRetriesWithFewerRecords(t *testing.T) {
 	l := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		assert.Equal(t, r.URL.Query().Get("wait"), "1500")
 		assert.Equal(t, r.URL.Path, "/streams/s")
