--- a/library/lister/lister.go
+++ b/library/lister/lister.go
@@ -1,6 +1,6 @@
-// Package lister is the client of the platform's list of VMs. The list lags: a
-// VM on it may be gone, and a new one may be missing. It does not decide who is
-// alive.
+// Package lister is the client of the platform's list of VMs. The list lags
+// behind reality: a listed VM may be gone, and a new VM may be missing. The package
+// does not decide which VMs are alive.
 package lister
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrList is the class of failed readings of the list.
+// ErrList is the class of failures to read the list.
 var ErrList = errs.Class("vm list")
 
 // States of a VM.
@@ -23,38 +23,38 @@
 )
 
 const (
-	// maxList bounds the answer in bytes: about 160 bytes for each of some
-	// thousand VMs, with a wide margin.
-	maxList = 4 << 20
-	// maxVMs bounds how many VMs a list may hold.
+	// maxResponseBytes limits the size of the response. An entry takes about 160
+	// bytes, so this leaves a wide margin for several thousand VMs.
+	maxResponseBytes = 4 << 20
+	// maxVMs limits the number of VMs in a list.
 	maxVMs = 10_000
 )
 
-// A VM is one entry VM as the platform lists it.
+// A VM is an entry VM as listed by the platform.
 type VM struct {
-	// ID names the VM; a replacement has another.
+	// ID identifies the VM; a replacement VM has a different ID.
 	ID string `json:"id"`
 	// Zone is its availability zone.
 	Zone string `json:"zone"`
-	// Address is its host:port for other VMs.
+	// Address is the host:port on which other VMs reach it.
 	Address string `json:"address"`
 	// State is Live or Leaving.
 	State string `json:"state"`
 }
 
-// A Client is the platform's list. It is safe for concurrent use.
+// A Client reads the platform's list of VMs. It is safe for concurrent use.
 type Client struct {
 	base   string
 	client *http.Client
 }
 
-// New returns the list at a base URL such as http://10.0.0.6:7000.
+// New returns a client for the list at a base URL such as http://10.0.0.6:7000.
 func New(base string, client *http.Client) *Client {
 	return &Client{base: base, client: client}
 }
 
-// VMs returns the VMs as the platform lists them now. An error says nothing
-// about any VM.
+// VMs returns the VMs that the platform currently lists. An error carries no
+// information about any VM.
 func (l *Client) VMs(ctx context.Context) ([]VM, error) {
 	req, err := sling.New().Get(l.base + "/vms").Request()
 	if err != nil {
@@ -71,35 +71,35 @@
 	return decode(res.Body)
 }
 
-// decode reads a list and refuses one that names a VM twice or not at all.
+// decode parses a list and rejects one with a missing or duplicate ID.
 func decode(body io.Reader) ([]VM, error) {
-	data, err := io.ReadAll(io.LimitReader(body, maxList+1))
+	data, err := io.ReadAll(io.LimitReader(body, maxResponseBytes+1))
 	if err != nil {
 		return nil, ErrList.Wrap(err)
 	}
-	if len(data) > maxList {
-		return nil, ErrList.New("more than %d bytes", maxList)
+	if len(data) > maxResponseBytes {
+		return nil, ErrList.New("response exceeds %d bytes", maxResponseBytes)
 	}
-	var answer struct {
+	var response struct {
 		VMs []VM `json:"vms"`
 	}
-	if err := json.Unmarshal(data, &answer); err != nil {
+	if err := json.Unmarshal(data, &response); err != nil {
 		return nil, ErrList.Wrap(err)
 	}
-	// An answer without the list itself is a broken answer. Taken for an empty
-	// list it would say that every VM is gone.
-	if answer.VMs == nil {
-		return nil, ErrList.New("answer without vms")
+	// A response without a vms key is invalid. Treating it as an empty list would
+	// mean that every VM is gone.
+	if response.VMs == nil {
+		return nil, ErrList.New("response has no vms")
 	}
-	if len(answer.VMs) > maxVMs {
-		return nil, ErrList.New("%d VMs, at most %d", len(answer.VMs), maxVMs)
+	if len(response.VMs) > maxVMs {
+		return nil, ErrList.New("%d VMs listed, the maximum is %d", len(response.VMs), maxVMs)
 	}
-	seen := make(map[string]bool, len(answer.VMs))
-	for i, v := range answer.VMs {
+	seen := make(map[string]bool, len(response.VMs))
+	for i, v := range response.VMs {
 		if v.ID == "" || seen[v.ID] {
 			return nil, ErrList.New("vms[%d]: id %q is empty or listed twice", i, v.ID)
 		}
 		seen[v.ID] = true
 	}
-	return answer.VMs, nil
+	return response.VMs, nil
 }
--- a/library/lister/lister_test.go
+++ b/library/lister/lister_test.go
@@ -12,7 +12,8 @@
 	"github.com/heathervane/heathervane/library/lister"
 )
 
-// A broken list must not be taken for one that says that all VMs are gone.
+// An invalid response must not be treated as an empty list, which would mean that
+// all VMs are gone.
 func TestVMs(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -23,11 +24,11 @@
 		{"two", 200, `{"vms":[{"id":"a","zone":"z","address":"1.2.3.4:5","state":"live"},{"id":"b","state":"leaving"}]}`, 2},
 		{"none", 200, `{"vms":[]}`, 0},
 		{"no list", 200, `{}`, -1},
-		{"down", 503, `{"vms":[]}`, -1},
-		{"no JSON", 200, `vms`, -1},
-		{"twice", 200, `{"vms":[{"id":"a"},{"id":"a"}]}`, -1},
+		{"unavailable", 503, `{"vms":[]}`, -1},
+		{"invalid JSON", 200, `vms`, -1},
+		{"duplicate id", 200, `{"vms":[{"id":"a"},{"id":"a"}]}`, -1},
 		{"no id", 200, `{"vms":[{"zone":"z"}]}`, -1},
-		{"too long", 200, strings.Repeat(" ", 5<<20), -1},
+		{"too large", 200, strings.Repeat(" ", 5<<20), -1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
