--- a/library/doc.go
+++ b/library/doc.go
@@ -1,3 +1,3 @@
-// Package library holds nothing itself: its folders are what two or more of
-// the programs share.
+// Package library contains no code. Its subpackages are shared by two or more of
+// the programs.
 package library
--- a/library/ticker/ticker.go
+++ b/library/ticker/ticker.go
@@ -1,6 +1,7 @@
-// Package ticker is the timer service. Parts subscribe to it and are called
-// with the time, so that tests can drive time by hand and never sleep. It does
-// not keep wall-clock time: its times carry Go's monotonic reading.
+// Package ticker provides a timer service. Components subscribe and are called
+// periodically with the current time, so that tests can advance the clock manually
+// instead of sleeping. With time.Now as the clock, times carry Go's monotonic clock
+// reading; wall-clock time is not tracked.
 package ticker
 
 import (
@@ -10,43 +11,43 @@
 	"time"
 )
 
-// A Ticker calls its subscribers, each at its own period.
+// A Ticker calls each of its subscribers at the subscriber's own period.
 type Ticker struct {
-	now  func() time.Time
-	step time.Duration
-	// woken has Run look again at when the next subscriber is due.
-	woken chan struct{}
+	now      func() time.Time
+	minSleep time.Duration
+	// wake makes Run recompute when the next subscriber is due.
+	wake chan struct{}
 
 	mu   sync.Mutex
 	subs []*subscriber
 }
 
 type subscriber struct {
-	every time.Duration
-	next  time.Time
-	call  func(time.Time)
+	period   time.Duration
+	next     time.Time
+	callback func(time.Time)
 }
 
-// New returns a Ticker that reads the time from now. It sleeps until a subscriber is
-// due, at least a step: those that are due within a step are called together, as
-// each call wakes the process.
-func New(now func() time.Time, step time.Duration) *Ticker {
-	return &Ticker{now: now, step: step, woken: make(chan struct{}, 1)}
+// New returns a Ticker that uses now as its clock. Run sleeps until the next
+// subscriber is due, but at least for minSleep, so that subscribers due within
+// that time are called together and the process wakes up less often.
+func New(now func() time.Time, minSleep time.Duration) *Ticker {
+	return &Ticker{now: now, minSleep: minSleep, wake: make(chan struct{}, 1)}
 }
 
-// Now is the current time.
+// Now returns the current time.
 func (t *Ticker) Now() time.Time { return t.now() }
 
-// Subscribe has call run every period, first a period from now. Calls come
-// from one goroutine, one after another, and must not block. The returned
-// function ends the subscription.
-func (t *Ticker) Subscribe(every time.Duration, call func(time.Time)) (stop func()) {
-	s := &subscriber{every: every, next: t.now().Add(every), call: call}
+// Subscribe calls callback once per period, starting one period from now. All
+// calls are made sequentially from one goroutine and must not block. The returned
+// function cancels the subscription.
+func (t *Ticker) Subscribe(period time.Duration, callback func(time.Time)) (stop func()) {
+	s := &subscriber{period: period, next: t.now().Add(period), callback: callback}
 	t.mu.Lock()
 	t.subs = append(t.subs, s)
 	t.mu.Unlock()
 	select {
-	case t.woken <- struct{}{}:
+	case t.wake <- struct{}{}:
 	default:
 	}
 	return func() {
@@ -56,11 +57,11 @@
 	}
 }
 
-// Tick runs the subscribers that are due. Run calls it; tests call it by hand.
+// Tick calls the subscribers that are due. Run calls it; tests may call it directly.
 func (t *Ticker) Tick() {
 	now := t.now()
 	for _, s := range t.due(now) {
-		s.call(now)
+		s.callback(now)
 	}
 }
 
@@ -72,17 +73,17 @@
 		if now.Before(s.next) {
 			continue
 		}
-		// A process that was frozen must not make up for the missed calls in
-		// one burst: the next call is a period from now.
-		s.next = now.Add(s.every)
+		// Schedule from now rather than from the previous due time, so that a process
+		// that was suspended does not make up for missed calls in a burst.
+		s.next = now.Add(s.period)
 		due = append(due, s)
 	}
 	return due
 }
 
-// Run ticks until the context ends.
+// Run calls subscribers as they become due until ctx is done.
 func (t *Ticker) Run(ctx context.Context) {
-	timer := time.NewTimer(t.wait())
+	timer := time.NewTimer(t.sleepDuration())
 	defer timer.Stop()
 	for {
 		select {
@@ -90,25 +91,25 @@
 			return
 		case <-timer.C:
 			t.Tick()
-		case <-t.woken:
+		case <-t.wake:
 		}
-		timer.Reset(t.wait())
+		timer.Reset(t.sleepDuration())
 	}
 }
 
-// idle is how long a Ticker without subscribers sleeps.
-const idle = time.Second
+// idleSleep is how long Run sleeps if no subscriber is due sooner.
+const idleSleep = time.Second
 
-// wait is how long to sleep until the next subscriber is due.
-func (t *Ticker) wait() time.Duration {
+// sleepDuration returns how long to sleep until the next subscriber is due.
+func (t *Ticker) sleepDuration() time.Duration {
 	now := t.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	next := now.Add(idle)
+	next := now.Add(idleSleep)
 	for _, s := range t.subs {
 		if s.next.Before(next) {
 			next = s.next
 		}
 	}
-	return max(t.step, next.Sub(now))
+	return max(t.minSleep, next.Sub(now))
 }
--- a/library/ticker/ticker_test.go
+++ b/library/ticker/ticker_test.go
@@ -10,10 +10,10 @@
 	"github.com/heathervane/heathervane/library/ticker"
 )
 
-// A part that has nothing to do ends its subscription, and subscribes again while
-// the service sleeps for something that is due much later. It must be called in
-// its own period nonetheless.
-func TestLaterSubscriberIsCalledInItsOwnPeriod(t *testing.T) {
+// A subscription made while Run sleeps until a much later due time must still be
+// called at its own period. This happens when a component without work cancels
+// its subscription and subscribes again.
+func TestSubscribeWhileSleeping(t *testing.T) {
 	tick := ticker.New(time.Now, time.Millisecond)
 	rare := make(chan time.Time, 100)
 	tick.Subscribe(time.Hour, func(at time.Time) { rare <- at })
@@ -35,8 +35,8 @@
 	assert.Equal(t, len(rare), 0)
 }
 
-// A process that was frozen must not make up for the missed calls in one burst.
-func TestMissedCallsAreNotMadeUpFor(t *testing.T) {
+// A process that was suspended must not make up for missed calls in a burst.
+func TestMissedCallsAreSkipped(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	tick := ticker.New(func() time.Time { return now }, time.Second)
 	calls := 0
