--- a/operator/changer/changer.go
+++ b/operator/changer/changer.go
@@ -1,7 +1,6 @@
-// Package changer appends a change to the log's stream config and finds out
-// what became of it. It tells a change that was accepted or refused from one of
-// which that is not known, and never claims more than it has read back. It
-// repeats only appends that certainly did not land.
+// Package changer appends a change to the log's config stream and determines its
+// outcome: accepted, refused or unknown. It reports only outcomes that it has read
+// back from the stream, and retries only appends that were certainly not stored.
 package changer
 
 import (
@@ -17,67 +16,67 @@
 )
 
 var (
-	// ErrPlatform is the class of changes that certainly did not land: the log
-	// could not be reached, or refused the append.
+	// ErrPlatform is the class of calls that failed because the log could not be
+	// reached or rejected them. The change was certainly not stored.
 	ErrPlatform = errs.Class("platform")
-	// ErrLost is the class of streams without a configuration to build on.
-	ErrLost = errs.Class("configuration lost")
+	// ErrConfigurationLost is the class of failures to reconstruct the configuration
+	// because the log has dropped the records that it was built from.
+	ErrConfigurationLost = errs.Class("configuration lost")
 )
 
 const (
-	// most bounds the records of one read. A record has up to 1 MiB.
-	most = 16
-	// wait is how long one read waits for the next record.
-	wait = time.Second
-	// pause is how long a failed call to the log is followed by none.
-	pause = 200 * time.Millisecond
+	// maxReadRecords limits the records of one read. A record may be up to 1 MiB.
+	maxReadRecords = 16
+	// readWait is how long one read waits for the next record.
+	readWait = time.Second
+	// retryDelay is the delay after a failed call to the log.
+	retryDelay = 200 * time.Millisecond
 )
 
-// A Log is the part of the platform's log that a Changer needs.
+// A Log is the subset of the platform's log client that a Changer uses.
 type Log interface {
-	Read(ctx context.Context, stream string, from uint64, most int, wait time.Duration) (appender.Batch, error)
+	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (appender.Batch, error)
 	Append(ctx context.Context, stream string, data []byte) (uint64, error)
 }
 
-// A Changer makes changes. It is for one change at a time.
+// A Changer submits changes, one at a time. It is not safe for concurrent use.
 type Changer struct {
-	log    Log
-	limit  time.Duration
-	reader *folder.Reader
-	end    uint64
-	// verdicts of records by their IDs, the first of each.
+	log     Log
+	timeout time.Duration
+	reader  *folder.Reader
+	end     uint64
+	// verdicts holds the first verdict for each record ID.
 	verdicts map[string]folder.Verdict
 }
 
-// New returns a Changer that gives up on a change after limit. What it has not
-// found out by then is unknown.
-func New(log Log, limit time.Duration) *Changer {
+// New returns a Changer that waits at most timeout for the outcome of a change.
+// If the outcome has not been read by then, it is Unknown.
+func New(log Log, timeout time.Duration) *Changer {
 	return &Changer{
-		log: log, limit: limit,
+		log: log, timeout: timeout,
 		reader: folder.NewReader(folder.CheckpointWindow), verdicts: map[string]folder.Verdict{},
 	}
 }
 
-// Unknown is the outcome of a change that may have landed, or may still land.
+// Unknown is the outcome of a change that may have been stored, or may still be.
 const Unknown folder.Outcome = "unknown"
 
-// A Result is what is known about a change.
+// A Result is the outcome of a change.
 type Result struct {
 	// Outcome is folder.Accepted, folder.Refused or Unknown.
 	Outcome folder.Outcome `json:"outcome"`
-	// Offset is where the change stands in the stream, 0 where that is not
-	// known.
+	// Offset is the change's offset in the stream, or 0 if unknown.
 	Offset uint64 `json:"offset,omitempty"`
-	// ID is the change's own, by which it is found in the audit trail.
+	// ID is the ID of the change, as shown in the audit trail.
 	ID string `json:"id"`
-	// Reason says why a change was refused, or is not known.
+	// Reason explains why a change was refused or why its outcome is unknown.
 	Reason   string          `json:"reason,omitempty"`
 	Findings finder.Findings `json:"findings,omitempty"`
 }
 
-// Current reads the stream to its end and returns the state in force and the
-// end. An error of the class ErrLost says that the log has dropped what the
-// state would be folded from.
+// Current reads to the end of the stream and returns the state in force and the
+// end offset. It fails with ErrConfigurationLost if the log has dropped the records
+// that are needed to rebuild the state.
 func (c *Changer) Current(ctx context.Context) (folder.State, uint64, error) {
 	for {
 		if err := c.read(ctx, 0); err != nil {
@@ -88,15 +87,15 @@
 		case s != nil && !c.reader.HasGap() && s.LastOffset+1 >= c.end:
 			return *s, c.end, nil
 		case c.reader.Exhausted():
-			return folder.State{}, c.end, ErrLost.New("the log keeps neither the first record nor a checkpoint")
+			return folder.State{}, c.end, ErrConfigurationLost.New("the log has neither the first record nor a checkpoint")
 		}
 	}
 }
 
-// read reads once from where the last read ended.
+// read makes one read, starting where the last one ended.
 func (c *Changer) read(ctx context.Context, wait time.Duration) error {
 	from := c.reader.Next()
-	b, err := c.log.Read(ctx, recorder.ConfigStream, from, most, wait)
+	b, err := c.log.Read(ctx, recorder.ConfigStream, from, maxReadRecords, wait)
 	if err != nil {
 		return err
 	}
@@ -110,17 +109,18 @@
 	}
 	c.end = b.End
 	for _, s := range steps {
-		c.note(s)
+		c.collectVerdicts(s)
 	}
 	return nil
 }
 
-// note keeps the first verdict on an ID. A record that was appended twice is
-// accepted once, and ignored after. Where the state was found on a checkpoint
-// that some VM wrote after the record, only the audit trail has the verdict.
-func (c *Changer) note(s folder.Step) {
+// collectVerdicts stores the first verdict for each ID. If a record was appended
+// twice, the first copy is accepted and the second is ignored. If the state was
+// bootstrapped from a checkpoint that a VM wrote after the record, the verdict is
+// only in the audit trail.
+func (c *Changer) collectVerdicts(s folder.Step) {
 	if !s.Bootstrapped {
-		c.keep(s.Verdict)
+		c.keepFirst(s.Verdict)
 		return
 	}
 	for _, a := range s.After.Audit {
@@ -128,21 +128,21 @@
 		if a.Accepted {
 			v.Outcome = folder.Accepted
 		}
-		c.keep(v)
+		c.keepFirst(v)
 	}
 }
 
-func (c *Changer) keep(v folder.Verdict) {
+func (c *Changer) keepFirst(v folder.Verdict) {
 	if _, ok := c.verdicts[v.ID]; !ok && v.ID != "" {
 		c.verdicts[v.ID] = v
 	}
 }
 
-// Make appends a record of an ID and reads the stream until its verdict, or
-// until the limit. An error is of the class ErrPlatform and says that nothing
-// has changed.
-func (c *Changer) Make(ctx context.Context, id string, data []byte) (Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.limit)
+// Submit appends a record with the given ID and reads the stream until the
+// record's verdict is found or the timeout expires. An error is of the class
+// ErrPlatform and means that nothing has changed.
+func (c *Changer) Submit(ctx context.Context, id string, data []byte) (Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	offset, err := c.append(ctx, data)
 	if appender.ErrRefused.Has(err) {
@@ -154,41 +154,43 @@
 			result.Outcome, result.Offset, result.Reason, result.Findings = v.Outcome, v.Offset, v.Reason, v.Findings
 			return result, nil
 		}
-		if offset != 0 && c.judged(offset) {
+		if offset != 0 && c.processed(offset) {
 			result.Outcome, result.Reason = folder.Refused, folder.ReasonMalformed
 			return result, nil
 		}
 		if ctx.Err() != nil {
-			result.Reason = unknown(offset, err)
+			result.Reason = unknownReason(offset, err)
 			return result, nil
 		}
-		if c.read(ctx, wait) != nil {
-			rest(ctx)
+		if c.read(ctx, readWait) != nil {
+			waitToRetry(ctx)
 		}
 	}
 }
 
-// judged says whether the record at an offset has been folded. A record that
-// was, and has left no verdict under its ID, could not be read.
-func (c *Changer) judged(offset uint64) bool {
+// processed reports whether the record at an offset has been applied. A record
+// that was applied without a verdict under its ID was malformed.
+func (c *Changer) processed(offset uint64) bool {
 	s := c.reader.State()
 	return s != nil && s.LastOffset >= offset
 }
 
-// append appends until the log takes it, or what became of it is unknown.
+// append retries while the log refuses the record, until the record is stored,
+// its outcome is unknown or the context is done. A record over MaxRecordBytes is
+// not retried.
 func (c *Changer) append(ctx context.Context, data []byte) (uint64, error) {
 	for {
 		offset, err := c.log.Append(ctx, recorder.ConfigStream, data)
-		if !appender.ErrRefused.Has(err) || !rest(ctx) || len(data) > appender.MaxRecordBytes {
+		if !appender.ErrRefused.Has(err) || !waitToRetry(ctx) || len(data) > appender.MaxRecordBytes {
 			return offset, err
 		}
 	}
 }
 
-// rest pauses before the next call to the log, and says whether there is time
-// for one.
-func rest(ctx context.Context) bool {
-	t := time.NewTimer(pause)
+// waitToRetry waits for retryDelay and reports whether the context allows another
+// attempt.
+func waitToRetry(ctx context.Context) bool {
+	t := time.NewTimer(retryDelay)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -198,9 +200,9 @@
 	}
 }
 
-func unknown(offset uint64, err error) string {
+func unknownReason(offset uint64, err error) string {
 	if offset != 0 {
-		return "it has landed, and the stream could not be read up to it"
+		return "it was stored, but the stream could not be read up to it"
 	}
-	return "it has not been found on the stream, and may still land: " + err.Error()
+	return "it was not found on the stream and may still be stored: " + err.Error()
 }
--- a/operator/commander/answers.go
+++ b/operator/commander/answers.go
@@ -13,8 +13,8 @@
 	"github.com/heathervane/heathervane/operator/changer"
 )
 
-// checked is the answer about a manifest without findings.
-type checked struct {
+// checkResult is the result of checking a manifest without findings.
+type checkResult struct {
 	File      string `json:"file"`
 	Models    int    `json:"models"`
 	Services  int    `json:"services"`
@@ -22,20 +22,21 @@
 	Teams     int    `json:"teams"`
 }
 
-func (c checked) text() string {
+func (c checkResult) text() string {
 	return fmt.Sprintf("%s: no findings; models %d, services %d, upstreams %d, teams %d\n",
 		c.File, c.Models, c.Services, c.Upstreams, c.Teams)
 }
 
-// refusal is the answer about a manifest with findings, which was not sent.
-type refusal struct {
+// invalidManifest is the result for a manifest with findings, which is not
+// published.
+type invalidManifest struct {
 	Outcome  folder.Outcome  `json:"outcome"`
 	Findings finder.Findings `json:"findings"`
 }
 
-func (r refusal) text() string { return lines(r.Findings) }
+func (r invalidManifest) text() string { return formatFindings(r.Findings) }
 
-func lines(found finder.Findings) string {
+func formatFindings(found finder.Findings) string {
 	var b strings.Builder
 	for _, f := range found {
 		b.WriteString(f.String() + "\n")
@@ -43,10 +44,10 @@
 	return b.String()
 }
 
-// made is the answer about a change.
-type made changer.Result
+// changeResult is the result of a change.
+type changeResult changer.Result
 
-func (m made) text() string {
+func (m changeResult) text() string {
 	var b strings.Builder
 	b.WriteString(string(m.Outcome))
 	if m.Offset != 0 {
@@ -56,17 +57,17 @@
 		b.WriteString(": " + m.Reason)
 	}
 	if m.Outcome == changer.Unknown {
-		fmt.Fprintf(&b, "; its id is %s, look for it by vanectl audit", m.ID)
+		fmt.Fprintf(&b, "; its id is %s, look for it with vanectl audit", m.ID)
 	}
-	return b.String() + "\n" + lines(m.Findings)
+	return b.String() + "\n" + formatFindings(m.Findings)
 }
 
-// trail is the audit trail.
-type trail struct {
+// auditTrail is the result of the audit command.
+type auditTrail struct {
 	Changes []recorder.Change `json:"changes"`
 }
 
-func (t trail) text() string {
+func (t auditTrail) text() string {
 	var b strings.Builder
 	for _, c := range t.Changes {
 		verdict := string(folder.Accepted)
@@ -83,26 +84,26 @@
 	return b.String()
 }
 
-// standing is the answer of status.
-type standing struct {
-	// Version, Digest and Outs are those in force by the log; Log says why
-	// they could not be read.
+// statusReport is the result of the status command.
+type statusReport struct {
+	// Version, Digest and Outs are those in force according to the log. Log is the
+	// error if the log could not be read.
 	Version uint64                `json:"version"`
 	Digest  string                `json:"digest,omitempty"`
 	Outs    recorder.OutOfService `json:"outs"`
 	Read    uint64                `json:"read"`
 	Log     string                `json:"log,omitempty"`
-	VMs     []vm                  `json:"vms,omitempty"`
+	VMs     []vmStatus            `json:"vms,omitempty"`
 }
 
-// vm is what a VM says of itself, and what is wrong with it.
-type vm struct {
+// vmStatus is the status that a VM reports, and the problem found with it, if any.
+type vmStatus struct {
 	Address string `json:"address"`
 	health
 	Problem string `json:"problem,omitempty"`
 }
 
-// health is the body of a VM's /status.
+// health is the body of a VM's /status response.
 type health struct {
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
@@ -110,7 +111,7 @@
 	Reason  string `json:"reason,omitempty"`
 }
 
-func (s standing) text() string {
+func (s statusReport) text() string {
 	var b strings.Builder
 	switch {
 	case s.Log != "":
@@ -138,7 +139,7 @@
 	return b.String()
 }
 
-func (v vm) text() string {
+func (v vmStatus) text() string {
 	if v.ID == "" {
 		return fmt.Sprintf("%s: %s\n", v.Address, v.Problem)
 	}
--- a/operator/commander/commander.go
+++ b/operator/commander/commander.go
@@ -1,6 +1,6 @@
-// Package commander is the command line of vanectl: it reads the words, has the
-// change made or the state read, prints the answer and gives the exit code. How
-// a change is made stands in operator/changer.
+// Package commander implements the command line of vanectl: it parses arguments,
+// submits a change or reads the state, prints the result and returns the exit code.
+// Changes are submitted by operator/changer.
 package commander
 
 import (
@@ -28,64 +28,65 @@
 	"github.com/heathervane/heathervane/operator/changer"
 )
 
-// A Code is the exit code of the program.
+// A Code is an exit code of the program.
 type Code int
 
-// The exit codes.
+// Exit codes.
 const (
-	// Done says that a change was accepted, or that all is well.
-	Done Code = 0
-	// Refused says that a change was refused, that there are findings, or
-	// that a VM does not hold what is in force.
-	Refused Code = 1
-	// Usage says that the command was not understood or lacks something.
-	Usage Code = 2
-	// Unknown says that a change may have landed or may still land.
-	Unknown Code = 3
-	// Unreached says that the platform was not reached and nothing changed.
-	Unreached Code = 4
+	// ExitOK means that a change was accepted or that no problem was found.
+	ExitOK Code = 0
+	// ExitRefused means that a change was refused, that a manifest has findings, that
+	// the configuration is lost, or that a VM is not ready, could not be queried or
+	// does not have the version in force.
+	ExitRefused Code = 1
+	// ExitUsage means that the command line or its input is invalid.
+	ExitUsage Code = 2
+	// ExitUnknown means that a change may have been stored or may still be stored.
+	ExitUnknown Code = 3
+	// ExitUnreachable means that the platform was not reached and nothing changed.
+	ExitUnreachable Code = 4
 )
 
-// errUsage is the class of wrong uses.
+// errUsage is the class of usage errors.
 var errUsage = errs.Class("usage")
 
-// Run runs the command that the arguments name. Answers go to out and errors to
-// bad.
-func Run(ctx context.Context, args []string, out, bad io.Writer) Code {
-	found, bare := words(args)
+// Run executes the command given by args. It writes results to out and errors to
+// errOut.
+func Run(ctx context.Context, args []string, out, errOut io.Writer) Code {
+	found, positional := checkArgs(args)
 	if err := found.Err(); err != nil {
-		fmt.Fprintln(bad, "vanectl:", err)
-		return Usage
+		fmt.Fprintln(errOut, "vanectl:", err)
+		return ExitUsage
 	}
 	o, err := parse(args)
 	if err != nil {
-		fmt.Fprintln(bad, "vanectl:", err)
-		return Usage
+		fmt.Fprintln(errOut, "vanectl:", err)
+		return ExitUsage
 	}
-	if len(bare) == 0 || (len(bare) == 1 && isDirected(bare[0])) {
-		usage(bad)
-		return Usage
+	if len(positional) == 0 || (len(positional) == 1 && takesDirection(positional[0])) {
+		printUsage(errOut)
+		return ExitUsage
 	}
-	c := commander{options: o, out: out, bad: bad, client: &http.Client{Timeout: o.limit}}
-	code, err := c.run(ctx, bare)
+	c := commander{options: o, out: out, errOut: errOut, client: &http.Client{Timeout: o.limit}}
+	code, err := c.run(ctx, positional)
 	if err != nil {
-		fmt.Fprintln(bad, "vanectl:", err)
+		fmt.Fprintln(errOut, "vanectl:", err)
 	}
 	return code
 }
 
-func isDirected(word string) bool {
-	return slices.Contains(directed, word)
+func takesDirection(command string) bool {
+	return slices.Contains(directionCommands, command)
 }
 
 type commander struct {
 	options
-	out, bad io.Writer
-	client   *http.Client
+	out, errOut io.Writer
+	client      *http.Client
 }
 
-func (c *commander) run(ctx context.Context, bare []string) (Code, error) {
-	switch bare[0] {
+func (c *commander) run(ctx context.Context, positional []string) (Code, error) {
+	switch positional[0] {
 	case "check":
 		return c.check()
 	case "publish":
@@ -95,12 +96,12 @@
 	case "audit":
 		return c.audit(ctx)
 	default:
-		return c.order(ctx, recorder.Target(bare[0]), bare[1] == "out")
+		return c.order(ctx, recorder.Target(positional[0]), positional[1] == "out")
 	}
 }
 
-// read reads a manifest and what is wrong with it.
-func (c *commander) read() ([]byte, checker.Manifest, finder.Findings, error) {
+// readManifest reads the manifest file and returns its contents and findings.
+func (c *commander) readManifest() ([]byte, checker.Manifest, finder.Findings, error) {
 	data, err := os.ReadFile(c.file)
 	if err != nil {
 		return nil, checker.Manifest{}, nil, errUsage.Wrap(err)
@@ -110,53 +111,53 @@
 }
 
 func (c *commander) check() (Code, error) {
-	_, m, found, err := c.read()
+	_, m, found, err := c.readManifest()
 	if err != nil {
-		return Usage, err
+		return ExitUsage, err
 	}
 	if len(found) > 0 {
-		return Refused, c.findings(found)
+		return ExitRefused, c.findings(found)
 	}
-	return Done, c.print(checked{
+	return ExitOK, c.print(checkResult{
 		File: c.file, Models: len(m.Models), Services: len(m.Services),
 		Upstreams: len(m.Upstreams), Teams: len(m.Teams),
 	})
 }
 
 func (c *commander) findings(found finder.Findings) error {
-	return c.print(refusal{Outcome: folder.Refused, Findings: found})
+	return c.print(invalidManifest{Outcome: folder.Refused, Findings: found})
 }
 
 func (c *commander) publish(ctx context.Context) (Code, error) {
-	data, _, found, err := c.read()
+	data, _, found, err := c.readManifest()
 	if err != nil {
-		return Usage, err
+		return ExitUsage, err
 	}
 	if len(found) > 0 {
-		return Refused, c.findings(found)
+		return ExitRefused, c.findings(found)
 	}
 	ch, err := c.changer()
 	if err != nil {
-		return Usage, err
+		return ExitUsage, err
 	}
-	base, err := c.basis(ctx, ch)
+	base, err := c.baseVersion(ctx, ch)
 	if err != nil {
-		return code(err), err
+		return exitCode(err), err
 	}
 	packed, err := recorder.Compress(data)
 	if err != nil {
-		return Usage, err
+		return ExitUsage, err
 	}
 	p := recorder.Publish{
-		Base: base, Anew: c.anew, Manifest: packed, Who: c.who, At: time.Now().UnixMilli(), ID: rand.Text(), Why: c.why,
+		Base: base, Anew: c.replaceAll, Manifest: packed, Who: c.who, At: time.Now().UnixMilli(), ID: rand.Text(), Why: c.why,
 	}
 	return change(ctx, c, ch, p.ID, recorder.KindPublish, p)
 }
 
-// basis is the version that a publish builds on, or the stream's end where it
-// replaces everything.
-func (c *commander) basis(ctx context.Context, ch *changer.Changer) (uint64, error) {
-	if c.base != "" && !c.anew {
+// baseVersion returns the version that a publish builds on, or the end of the
+// stream if the publish replaces everything.
+func (c *commander) baseVersion(ctx context.Context, ch *changer.Changer) (uint64, error) {
+	if c.base != "" && !c.replaceAll {
 		base, err := strconv.ParseUint(c.base, 10, 64)
 		if err != nil {
 			return 0, errUsage.New("--base %q is not a version", c.base)
@@ -164,29 +165,29 @@
 		return base, nil
 	}
 	s, end, err := ch.Current(ctx)
-	if c.anew && (err == nil || changer.ErrLost.Has(err)) {
+	if c.replaceAll && (err == nil || changer.ErrConfigurationLost.Has(err)) {
 		return end, nil
 	}
-	if changer.ErrLost.Has(err) {
-		return 0, fmt.Errorf("%w; publish with --anew, and give the orders again", err)
+	if changer.ErrConfigurationLost.Has(err) {
+		return 0, fmt.Errorf("%w; publish with --anew, then repeat the orders", err)
 	}
 	return s.Version, err
 }
 
 func (c *commander) order(ctx context.Context, kind recorder.Target, out bool) (Code, error) {
 	if !checker.ValidName(c.name) {
-		return Usage, errUsage.New("the name %q is not 1 to 40 of a-z, 0-9 and -", c.name)
+		return ExitUsage, errUsage.New("the name %q is not 1 to 40 characters of a-z, 0-9 and -", c.name)
 	}
 	ch, err := c.changer()
 	if err != nil {
-		return Usage, err
+		return ExitUsage, err
 	}
 	_, end, err := ch.Current(ctx)
 	if err != nil {
-		return code(err), err
+		return exitCode(err), err
 	}
 	if kind == recorder.TargetVM && out {
-		c.warn(ctx)
+		c.warnUnknownVM(ctx)
 	}
 	o := recorder.Order{
 		Kind: kind, Name: c.name, Out: out, Base: end,
@@ -195,16 +196,16 @@
 	return change(ctx, c, ch, o.ID, recorder.KindOrder, o)
 }
 
-// warn tells of a name that the platform's list of VMs does not have. Manifests
-// do not name VMs, so that a wrong name would be accepted and change nothing.
-// The list lags, so that the order is given all the same.
-func (c *commander) warn(ctx context.Context) {
+// warnUnknownVM warns if the VM's name is not on the platform's list. Manifests do
+// not name VMs, so an order with a wrong name would be accepted without effect. The
+// order is submitted anyway, because the list may be out of date.
+func (c *commander) warnUnknownVM(ctx context.Context) {
 	if c.list == "" {
 		return
 	}
 	vms, err := lister.New(strings.TrimRight(c.list, "/"), c.client).VMs(ctx)
 	if err != nil {
-		fmt.Fprintln(c.bad, "vanectl: the name could not be checked:", err)
+		fmt.Fprintln(c.errOut, "vanectl: the name could not be checked:", err)
 		return
 	}
 	names := make([]string, 0, len(vms))
@@ -216,34 +217,34 @@
 	}
 	var found finder.Findings
 	found.AddHintf("vm "+c.name, c.name, names, "is not on the platform's list")
-	fmt.Fprintln(c.bad, "vanectl: warning:", found[0])
+	fmt.Fprintln(c.errOut, "vanectl: warning:", found[0])
 }
 
-// change makes a change and prints what became of it.
+// change submits a change and prints its outcome.
 func change[T any](ctx context.Context, c *commander, ch *changer.Changer, id, kind string, v T) (Code, error) {
 	data, err := recorder.Wrap(kind, v)
 	if err != nil {
-		return Usage, err
+		return ExitUsage, err
 	}
-	r, err := ch.Make(ctx, id, data)
+	r, err := ch.Submit(ctx, id, data)
 	if err != nil {
-		return code(err), err
+		return exitCode(err), err
 	}
-	codes := map[folder.Outcome]Code{folder.Accepted: Done, changer.Unknown: Unknown}
+	codes := map[folder.Outcome]Code{folder.Accepted: ExitOK, changer.Unknown: ExitUnknown}
 	exit, ok := codes[r.Outcome]
 	if !ok {
-		exit = Refused
+		exit = ExitRefused
 	}
-	return exit, c.print(made(r))
+	return exit, c.print(changeResult(r))
 }
 
-// changer returns a Changer on the log that the operator named.
+// changer returns a Changer for the log given by --log or VANECTL_LOG.
 func (c *commander) changer() (*changer.Changer, error) {
 	if c.who == "" || len(c.who) > folder.MaxWho || len(c.why) > folder.MaxWhy {
-		return nil, errUsage.New("--who needs 1 to %d bytes, and --why at most %d", folder.MaxWho, folder.MaxWhy)
+		return nil, errUsage.New("--who needs 1 to %d bytes, and --why takes at most %d", folder.MaxWho, folder.MaxWhy)
 	}
 	if c.log == "" {
-		return nil, errUsage.New("name the platform's log by --log or VANECTL_LOG")
+		return nil, errUsage.New("set the URL of the platform's log with --log or VANECTL_LOG")
 	}
 	if !strings.HasPrefix(c.log, "http://") && !strings.HasPrefix(c.log, "https://") {
 		return nil, errUsage.New("--log %q is not a URL such as http://10.0.0.5:7000", c.log)
@@ -251,21 +252,21 @@
 	return changer.New(appender.New(strings.TrimRight(c.log, "/"), c.client), c.limit), nil
 }
 
-// code is the exit code of an error that came before anything changed.
-func code(err error) Code {
+// exitCode returns the exit code for an error that occurred before any change.
+func exitCode(err error) Code {
 	switch {
 	case errUsage.Has(err):
-		return Usage
-	case changer.ErrLost.Has(err):
-		return Refused
+		return ExitUsage
+	case changer.ErrConfigurationLost.Has(err):
+		return ExitRefused
 	case errors.Is(err, context.Canceled), changer.ErrPlatform.Has(err):
-		return Unreached
+		return ExitUnreachable
 	default:
-		return Usage
+		return ExitUsage
 	}
 }
 
-// printer is an answer that has a form for people beside that in JSON.
+// A printer is a result that has a text form besides JSON.
 type printer interface {
 	text() string
 }
--- a/operator/commander/commander_test.go
+++ b/operator/commander/commander_test.go
@@ -20,8 +20,8 @@
 
 const example = "../../examples/manifest.toml"
 
-// TestMain lets the test binary stand for vanectl, because the flag library
-// ends the process by itself.
+// TestMain lets the test binary act as vanectl, because the flag library exits the
+// process itself.
 func TestMain(m *testing.M) {
 	if os.Getenv("VANECTL_RUN") != "" {
 		os.Exit(int(commander.Run(context.Background(), os.Args[1:], os.Stdout, os.Stderr)))
@@ -40,10 +40,11 @@
 	return code, out.String()
 }
 
-func published(t *testing.T) *fakeLog {
+// publishedLog returns a log on which the example manifest has been published.
+func publishedLog(t *testing.T) *fakeLog {
 	l := newLog(t)
 	code, out := run(t, l, "publish", example, "--who", "kim", "--why", "first")
-	assert.Equal(t, code, commander.Done, out)
+	assert.Equal(t, code, commander.ExitOK, out)
 	return l
 }
 
@@ -56,105 +57,105 @@
 		code commander.Code
 		want string
 	}{
-		{"check", []string{"check", example}, commander.Done, "no findings; models 1, services 1, upstreams 5, teams 2"},
-		{"check with findings", []string{"check", bad}, commander.Refused, "seets: unknown key (did you mean seats?)\nwindow: is 1s"},
-		{"check in JSON", []string{"check", "--json", bad}, commander.Refused, `"findings":[{"place":"seets"`},
-		{"check of nothing", []string{"check", "no-such-file"}, commander.Usage, "no such file"},
-		{"publish findings", []string{"publish", bad}, commander.Refused, "did you mean seats?"},
-		{"publish next", []string{"publish", example, "--base", "1"}, commander.Done, "accepted at offset 2"},
-		{"publish on the one in force", []string{"publish", example, "--json"}, commander.Done, `{"outcome":"accepted","offset":2`},
-		{"publish stale", []string{"publish", example, "--base=0"}, commander.Refused, "refused at offset 2: it builds on version 0, and version 1 is in force"},
-		{"publish bad base", []string{"publish", example, "--base", "x"}, commander.Usage, `--base "x" is not a version`},
-		{"publish anew", []string{"publish", example, "--anew"}, commander.Done, "accepted at offset 2"},
-		{"publish by nobody", []string{"publish", example, "--who", ""}, commander.Usage, "--who needs 1 to 64 bytes"},
-		{"zone out", []string{"zone", "out", "a", "--why", "power"}, commander.Done, "accepted at offset 2"},
-		{"zone in", []string{"zone", "in", "a"}, commander.Done, "accepted at offset 2"},
-		{"zone unknown", []string{"zone", "out", "d"}, commander.Refused, "is not in the manifest in force"},
-		{"upstream unknown", []string{"upstream", "out", "runner-9"}, commander.Refused, "did you mean runner-"},
-		{"upstream out", []string{"upstream", "out", "runner-1"}, commander.Done, "accepted"},
-		{"vm out", []string{"vm", "out", "entry-1"}, commander.Done, "accepted"},
-		{"vm with a bad name", []string{"vm", "out", "Entry 1"}, commander.Usage, "is not 1 to 40"},
-		{"status", []string{"status"}, commander.Done, "version 1 in force"},
-		{"audit", []string{"audit"}, commander.Done, "1  1970-01-01T00:00:01Z  kim  publish on 0  accepted"},
-		{"audit with a reason", []string{"audit"}, commander.Done, "(first)"},
-		{"audit in JSON", []string{"audit", "--json"}, commander.Done, `{"changes":[{"offset":1,"at":1000,"who":"kim"`},
-		{"wrong command", []string{"pubish", example}, commander.Usage, "unknown command (did you mean publish?)"},
-		{"wrong direction", []string{"zone", "ot", "a"}, commander.Usage, "is neither out nor in (did you mean out?)"},
-		{"wrong flag", []string{"status", "--jsn"}, commander.Usage, "unknown flag (did you mean --json?)"},
-		{"no direction", []string{"zone"}, commander.Usage, "zone out|in NAME"},
-		{"nothing", nil, commander.Usage, "exit codes: 0 accepted"},
-		{"bad log", []string{"status", "--log", "10.0.0.1"}, commander.Usage, "is not a URL"},
-		{"no log there", []string{"status", "--log", "http://127.0.0.1:1"}, commander.Unreached, "connection refused"},
+		{"check", []string{"check", example}, commander.ExitOK, "no findings; models 1, services 1, upstreams 5, teams 2"},
+		{"check with findings", []string{"check", bad}, commander.ExitRefused, "seets: unknown key (did you mean seats?)\nwindow: is 1s"},
+		{"check in JSON", []string{"check", "--json", bad}, commander.ExitRefused, `"findings":[{"place":"seets"`},
+		{"check of a missing file", []string{"check", "no-such-file"}, commander.ExitUsage, "no such file"},
+		{"publish findings", []string{"publish", bad}, commander.ExitRefused, "did you mean seats?"},
+		{"publish next", []string{"publish", example, "--base", "1"}, commander.ExitOK, "accepted at offset 2"},
+		{"publish on the one in force", []string{"publish", example, "--json"}, commander.ExitOK, `{"outcome":"accepted","offset":2`},
+		{"publish stale", []string{"publish", example, "--base=0"}, commander.ExitRefused, "refused at offset 2: it builds on version 0, and version 1 is in force"},
+		{"publish bad base", []string{"publish", example, "--base", "x"}, commander.ExitUsage, `--base "x" is not a version`},
+		{"publish anew", []string{"publish", example, "--anew"}, commander.ExitOK, "accepted at offset 2"},
+		{"publish without an author", []string{"publish", example, "--who", ""}, commander.ExitUsage, "--who needs 1 to 64 bytes"},
+		{"zone out", []string{"zone", "out", "a", "--why", "power"}, commander.ExitOK, "accepted at offset 2"},
+		{"zone in", []string{"zone", "in", "a"}, commander.ExitOK, "accepted at offset 2"},
+		{"zone unknown", []string{"zone", "out", "d"}, commander.ExitRefused, "is not in the manifest in force"},
+		{"upstream unknown", []string{"upstream", "out", "runner-9"}, commander.ExitRefused, "did you mean runner-"},
+		{"upstream out", []string{"upstream", "out", "runner-1"}, commander.ExitOK, "accepted"},
+		{"vm out", []string{"vm", "out", "entry-1"}, commander.ExitOK, "accepted"},
+		{"vm with a bad name", []string{"vm", "out", "Entry 1"}, commander.ExitUsage, "is not 1 to 40"},
+		{"status", []string{"status"}, commander.ExitOK, "version 1 in force"},
+		{"audit", []string{"audit"}, commander.ExitOK, "1  1970-01-01T00:00:01Z  kim  publish on 0  accepted"},
+		{"audit with a reason", []string{"audit"}, commander.ExitOK, "(first)"},
+		{"audit in JSON", []string{"audit", "--json"}, commander.ExitOK, `{"changes":[{"offset":1,"at":1000,"who":"kim"`},
+		{"wrong command", []string{"pubish", example}, commander.ExitUsage, "unknown command (did you mean publish?)"},
+		{"wrong direction", []string{"zone", "ot", "a"}, commander.ExitUsage, "must be out or in (did you mean out?)"},
+		{"wrong flag", []string{"status", "--jsn"}, commander.ExitUsage, "unknown flag (did you mean --json?)"},
+		{"no direction", []string{"zone"}, commander.ExitUsage, "zone out|in NAME"},
+		{"no command", nil, commander.ExitUsage, "exit codes: 0 accepted"},
+		{"invalid log URL", []string{"status", "--log", "10.0.0.1"}, commander.ExitUsage, "is not a URL"},
+		{"log not reachable", []string{"status", "--log", "http://127.0.0.1:1"}, commander.ExitUnreachable, "connection refused"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			code, out := run(t, published(t), c.args...)
+			code, out := run(t, publishedLog(t), c.args...)
 			assert.Equal(t, code, c.code, out)
 			assert.Assert(t, strings.Contains(out, c.want), out)
 		})
 	}
 	code, out := run(t, nil, "status")
-	assert.Equal(t, code, commander.Usage, out)
+	assert.Equal(t, code, commander.ExitUsage, out)
 }
 
-// The log fails while a change is under way. An operator who is told "refused"
-// of a change that took effect, or "accepted" of one that did not, goes on from
-// a state that the fleet is not in.
+// The log fails while a change is being submitted. Reporting a change as refused
+// when it took effect, or as accepted when it did not, would make the operator
+// continue from a state that the fleet is not in.
 func TestChangesUnderFaults(t *testing.T) {
-	rival := wrap(t, recorder.KindPublish, recorder.Publish{Base: 1, Manifest: []byte("zones = ['a']"), Who: "lee", ID: "rival"})
+	concurrent := wrap(t, recorder.KindPublish, recorder.Publish{Base: 1, Manifest: []byte("zones = ['a']"), Who: "lee", ID: "rival"})
 	for _, c := range []struct {
 		name   string
 		faults faults
 		code   commander.Code
 		want   string
-		landed int
+		stored int
 	}{
-		{"the answer is lost", faults{lose: true}, commander.Done, "accepted at offset 2", 2},
-		{"the answer is lost after a rival's", faults{lose: true, rival: rival}, commander.Refused, "refused at offset 3: it builds on version 1, and version 2", 3},
-		{"a rival is first", faults{rival: rival}, commander.Refused, "refused at offset 3", 3},
-		{"it lands twice", faults{twice: true}, commander.Done, "accepted at offset 2", 3},
-		{"it lands twice, its answer lost", faults{twice: true, lose: true}, commander.Done, "accepted at offset 2", 3},
-		{"a checkpoint is all that is left", faults{store: true}, commander.Done, "accepted at offset 2", 3},
-		{"a checkpoint is left, the answer lost", faults{store: true, lose: true}, commander.Done, "accepted at offset 2", 3},
-		{"a checkpoint is left after a rival's", faults{store: true, lose: true, rival: rival}, commander.Refused, "refused at offset 3: it builds on version 1", 4},
-		{"the call is lost", faults{drop: true}, commander.Unknown, "unknown: it has not been found on the stream, and may still land", 1},
-		{"the log is down after it", faults{blind: true}, commander.Unknown, "unknown at offset 2: it has landed", 2},
-		{"both", faults{blind: true, lose: true}, commander.Unknown, "may still land", 2},
-		{"the log is over its rate for a while", faults{refuse: 1}, commander.Done, "accepted at offset 2", 2},
-		{"the log is over its rate", faults{refuse: 1000}, commander.Unreached, "429", 1},
-		{"the log is down", faults{down: true}, commander.Unreached, "503", 1},
+		{"response is lost", faults{loseResponse: true}, commander.ExitOK, "accepted at offset 2", 2},
+		{"response is lost after a concurrent change", faults{loseResponse: true, concurrent: concurrent}, commander.ExitRefused, "refused at offset 3: it builds on version 1, and version 2", 3},
+		{"concurrent change is stored first", faults{concurrent: concurrent}, commander.ExitRefused, "refused at offset 3", 3},
+		{"stored twice", faults{duplicate: true}, commander.ExitOK, "accepted at offset 2", 3},
+		{"stored twice, response is lost", faults{duplicate: true, loseResponse: true}, commander.ExitOK, "accepted at offset 2", 3},
+		{"only a checkpoint is retained", faults{checkpoint: true}, commander.ExitOK, "accepted at offset 2", 3},
+		{"only a checkpoint is retained, response is lost", faults{checkpoint: true, loseResponse: true}, commander.ExitOK, "accepted at offset 2", 3},
+		{"only a checkpoint is retained, after a concurrent change", faults{checkpoint: true, loseResponse: true, concurrent: concurrent}, commander.ExitRefused, "refused at offset 3: it builds on version 1", 4},
+		{"request is lost", faults{loseRequest: true}, commander.ExitUnknown, "unknown: it was not found on the stream and may still be stored", 1},
+		{"log is unavailable after the append", faults{downAfterAppend: true}, commander.ExitUnknown, "unknown at offset 2: it was stored", 2},
+		{"response is lost, log is unavailable after the append", faults{downAfterAppend: true, loseResponse: true}, commander.ExitUnknown, "may still be stored", 2},
+		{"log is rate limited once", faults{rateLimit: 1}, commander.ExitOK, "accepted at offset 2", 2},
+		{"log is rate limited", faults{rateLimit: 1000}, commander.ExitUnreachable, "429", 1},
+		{"log is unavailable", faults{down: true}, commander.ExitUnreachable, "503", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := published(t)
+			l := publishedLog(t)
 			l.faults = c.faults
 			code, out := run(t, l, "publish", example, "--base", "1", "--limit", "700ms")
 			assert.Equal(t, code, c.code, out)
 			assert.Assert(t, strings.Contains(out, c.want), out)
-			assert.Equal(t, len(l.records), c.landed)
+			assert.Equal(t, len(l.records), c.stored)
 		})
 	}
 }
 
-// Every record that said the configuration has expired. Nothing can be built on
-// it, and an order must not seem to have been followed.
+// All records with the configuration have expired. Nothing can build on it, and an
+// order must not be reported as accepted.
 func TestLostConfiguration(t *testing.T) {
-	l := published(t)
+	l := publishedLog(t)
 	code, out := run(t, l, "zone", "out", "a")
-	assert.Equal(t, code, commander.Done, out)
+	assert.Equal(t, code, commander.ExitOK, out)
 	l.start = 2
 	for _, args := range [][]string{{"publish", example}, {"zone", "out", "b"}, {"status"}, {"audit"}} {
 		code, out := run(t, l, args...)
-		assert.Equal(t, code, commander.Refused, out)
-		assert.Assert(t, strings.Contains(out, "keeps neither the first record nor a checkpoint"), out)
+		assert.Equal(t, code, commander.ExitRefused, out)
+		assert.Assert(t, strings.Contains(out, "has neither the first record nor a checkpoint"), out)
 	}
 	code, out = run(t, l, "publish", example, "--anew")
-	assert.Equal(t, code, commander.Done, out)
+	assert.Equal(t, code, commander.ExitOK, out)
 	code, out = run(t, l, "status")
-	assert.Equal(t, code, commander.Done, out)
+	assert.Equal(t, code, commander.ExitOK, out)
 	assert.Assert(t, strings.Contains(out, "version 3 in force"), out)
 }
 
 func TestStatusOfVMs(t *testing.T) {
-	l := published(t)
+	l := publishedLog(t)
 	serve := func(status int, body string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(status)
@@ -169,11 +170,11 @@
 		code    commander.Code
 		want    string
 	}{
-		{good, commander.Done, "entry-1: version 1, ready true\n"},
-		{serve(200, `{"id":"entry-2","version":0,"ready":true}`), commander.Refused, "version 1 is in force"},
-		{serve(503, `{"id":"entry-3","version":1,"ready":false,"reason":"leaving"}`), commander.Refused, "ready false, leaving"},
-		{serve(404, `not found`), commander.Refused, "404 Not Found is no status"},
-		{"http://127.0.0.1:1", commander.Refused, "not reached"},
+		{good, commander.ExitOK, "entry-1: version 1, ready true\n"},
+		{serve(200, `{"id":"entry-2","version":0,"ready":true}`), commander.ExitRefused, "version 1 is in force"},
+		{serve(503, `{"id":"entry-3","version":1,"ready":false,"reason":"leaving"}`), commander.ExitRefused, "ready false, leaving"},
+		{serve(404, `not found`), commander.ExitRefused, "404 Not Found is not a valid status response"},
+		{"http://127.0.0.1:1", commander.ExitRefused, "not reached"},
 	} {
 		code, out := run(t, l, "status", "--vm", good, "--vm", c.address)
 		assert.Equal(t, code, c.code, out)
@@ -181,7 +182,7 @@
 	}
 	l.faults.down = true
 	code, out := run(t, l, "status", "--vm", good, "--json")
-	assert.Equal(t, code, commander.Unreached, out)
+	assert.Equal(t, code, commander.ExitUnreachable, out)
 	var answer struct {
 		Log string
 		VMs []struct{ ID string }
@@ -191,8 +192,8 @@
 	assert.Assert(t, strings.Contains(answer.Log, "503"))
 }
 
-func TestWrongNameOfAVMIsWarnedOf(t *testing.T) {
-	l := published(t)
+func TestUnknownVMNameWarning(t *testing.T) {
+	l := publishedLog(t)
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Write([]byte(`{"vms":[{"id":"entry-1","zone":"a","address":"10.0.0.1:1","state":"live"}]}`))
 	}))
@@ -206,7 +207,7 @@
 		{l.URL, "entri-1", "the name could not be checked", true},
 	} {
 		code, out := run(t, l, "vm", "out", c.name, "--list", c.list)
-		assert.Equal(t, code, commander.Done, out)
+		assert.Equal(t, code, commander.ExitOK, out)
 		assert.Assert(t, strings.Contains(out, c.want), out)
 		assert.Equal(t, strings.Contains(out, "vanectl:"), c.warned, out)
 	}
@@ -219,11 +220,11 @@
 		want string
 	}{
 		{[]string{"--help"}, 0, "publish"},
-		{[]string{"check", "--help"}, 0, "say what is wrong with a manifest"},
+		{[]string{"check", "--help"}, 0, "report problems in a manifest"},
 		{[]string{"publish", "--help"}, 0, "--anew"},
 		{[]string{"vm", "--help"}, 0, "out"},
 		{[]string{"vm", "out", "--help"}, 0, "--why"},
-		{[]string{"zone", "in", "--help"}, 0, "work returns step by step"},
+		{[]string{"zone", "in", "--help"}, 0, "work is sent there again, step by step"},
 		{[]string{"upstream", "out", "--help"}, 0, "name of the upstream"},
 		{[]string{"status", "--help"}, 0, "--vm"},
 		{[]string{"audit", "--help"}, 0, "exit codes: 0 accepted"},
--- a/operator/commander/log_test.go
+++ b/operator/commander/log_test.go
@@ -16,7 +16,7 @@
 	"github.com/heathervane/heathervane/library/recorder"
 )
 
-// fakeLog serves one stream over HTTP, with the faults that a test sets.
+// fakeLog serves one stream over HTTP and injects the faults set by a test.
 type fakeLog struct {
 	*httptest.Server
 
@@ -27,14 +27,14 @@
 }
 
 type faults struct {
-	down   bool // 503 to every call
-	lose   bool // the answer to an append is lost after the effect
-	drop   bool // the append itself is lost
-	refuse int  // 429 to so many appends
-	blind  bool // 503 to reads after an append
-	rival  []byte
-	twice  bool // an append lands twice
-	store  bool // a checkpoint follows, and what is before it expires
+	down            bool // every request gets 503
+	loseResponse    bool // the connection is closed after an append is stored
+	loseRequest     bool // the connection is closed before an append is stored
+	rateLimit       int  // number of appends that get 429
+	downAfterAppend bool // every request after an append gets 503
+	concurrent      []byte
+	duplicate       bool // an append is stored twice
+	checkpoint      bool // an append is followed by a checkpoint, and all earlier records are dropped
 }
 
 func newLog(t *testing.T) *fakeLog {
@@ -58,32 +58,32 @@
 	case l.faults.down:
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
-	case l.faults.refuse > 0:
-		l.faults.refuse--
+	case l.faults.rateLimit > 0:
+		l.faults.rateLimit--
 		http.Error(w, "rate", http.StatusTooManyRequests)
 		return
-	case l.faults.drop:
+	case l.faults.loseRequest:
 		panic(http.ErrAbortHandler)
 	}
-	if l.faults.rival != nil {
-		l.records = append(l.records, l.faults.rival)
+	if l.faults.concurrent != nil {
+		l.records = append(l.records, l.faults.concurrent)
 	}
 	l.records = append(l.records, data)
-	if l.faults.twice {
+	if l.faults.duplicate {
 		l.records = append(l.records, data)
 	}
-	if l.faults.store {
-		l.store()
+	if l.faults.checkpoint {
+		l.appendCheckpoint()
 	}
-	l.faults.down = l.faults.blind
-	if l.faults.lose {
+	l.faults.down = l.faults.downAfterAppend
+	if l.faults.loseResponse {
 		panic(http.ErrAbortHandler)
 	}
-	answer(w, map[string]int{"offset": len(l.records)})
+	writeJSON(w, map[string]int{"offset": len(l.records)})
 }
 
-// store appends a checkpoint and drops all that is before it.
-func (l *fakeLog) store() {
+// appendCheckpoint appends a checkpoint and drops all earlier records.
+func (l *fakeLog) appendCheckpoint() {
 	var s folder.State
 	for i, data := range l.records {
 		s, _ = folder.Apply(s, folder.Record{Offset: uint64(i + 1), Data: data})
@@ -119,10 +119,10 @@
 	for at := max(from, l.start); at <= len(l.records) && len(records) < most; at++ {
 		records = append(records, record{at, time.Unix(int64(at), 0).UnixMilli(), l.records[at-1]})
 	}
-	answer(w, map[string]any{"start": l.start, "end": len(l.records) + 1, "records": records})
+	writeJSON(w, map[string]any{"start": l.start, "end": len(l.records) + 1, "records": records})
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
 		panic(http.ErrAbortHandler)
--- a/operator/commander/status.go
+++ b/operator/commander/status.go
@@ -11,38 +11,39 @@
 	"github.com/dghubble/sling"
 )
 
-// maxStatus bounds a VM's answer in bytes.
+// maxStatus limits the size of a VM's status response in bytes.
 const maxStatus = 64 << 10
 
-// status shows what the log says is in force, and what VMs hold. The VMs are
-// asked also where the log is not reached, because that is when one asks.
+// status prints the configuration in force according to the log, and the status of
+// the given VMs. The VMs are queried even if the log cannot be read, because that
+// is when operators need their status most.
 func (c *commander) status(ctx context.Context) (Code, error) {
 	ch, err := c.changer()
 	if err != nil {
-		return Usage, err
+		return ExitUsage, err
 	}
-	exit := Done
+	exit := ExitOK
 	s, _, err := ch.Current(ctx)
-	answer := standing{Version: s.Version, Digest: s.Digest, Outs: s.OutOfService, Read: s.LastOffset}
+	report := statusReport{Version: s.Version, Digest: s.Digest, Outs: s.OutOfService, Read: s.LastOffset}
 	if err != nil {
-		answer.Log, exit = err.Error(), code(err)
+		report.Log, exit = err.Error(), exitCode(err)
 	}
 	for _, address := range c.vms {
-		v := c.ask(ctx, address)
+		v := c.fetchStatus(ctx, address)
 		if v.Problem == "" && err == nil && v.Version != s.Version {
 			v.Problem = fmt.Sprintf("version %d is in force", s.Version)
 		}
-		if (v.Problem != "" || !v.Ready) && exit == Done {
-			exit = Refused
+		if (v.Problem != "" || !v.Ready) && exit == ExitOK {
+			exit = ExitRefused
 		}
-		answer.VMs = append(answer.VMs, v)
+		report.VMs = append(report.VMs, v)
 	}
-	return exit, c.print(answer)
+	return exit, c.print(report)
 }
 
-// ask reads a VM's own status.
-func (c *commander) ask(ctx context.Context, address string) vm {
-	v := vm{Address: address}
+// fetchStatus requests the status of a VM.
+func (c *commander) fetchStatus(ctx context.Context, address string) vmStatus {
+	v := vmStatus{Address: address}
 	req, err := sling.New().Base(strings.TrimRight(address, "/") + "/").Get("status").Request()
 	if err != nil {
 		v.Problem = err.Error()
@@ -56,20 +57,20 @@
 	defer res.Body.Close()
 	err = json.NewDecoder(io.LimitReader(res.Body, maxStatus)).Decode(&v.health)
 	if err != nil || v.ID == "" || (res.StatusCode != http.StatusOK && res.StatusCode != http.StatusServiceUnavailable) {
-		v.Problem = fmt.Sprintf("%s is no status", res.Status)
+		v.Problem = fmt.Sprintf("%s is not a valid status response", res.Status)
 	}
 	return v
 }
 
-// audit shows the end of the audit trail.
+// audit prints the retained part of the audit trail.
 func (c *commander) audit(ctx context.Context) (Code, error) {
 	ch, err := c.changer()
 	if err != nil {
-		return Usage, err
+		return ExitUsage, err
 	}
 	s, _, err := ch.Current(ctx)
 	if err != nil {
-		return code(err), err
+		return exitCode(err), err
 	}
-	return Done, c.print(trail{Changes: s.Audit})
+	return ExitOK, c.print(auditTrail{Changes: s.Audit})
 }
--- a/operator/main.go
+++ b/operator/main.go
@@ -1,5 +1,5 @@
 // Command vanectl checks and publishes manifests, takes VMs, availability zones
-// and upstreams out of service and back in, and shows what is in force.
+// and upstreams out of service and back in, and shows the configuration in force.
 package main
 
 import (
