--- a/entry/request/admitter/admitter.go
+++ b/entry/request/admitter/admitter.go
@@ -1,10 +1,10 @@
 // Package admitter decides which requests may wait for an upstream, in which
 // order they wait, and which are rejected immediately. It handles saturation
 // (three times the capacity), bursts, a team that sends most of the load, and
-// million-token prompts among short ones. Without it a queue would
-// grow until everything in it misses its deadline, one team's backlog would
-// delay all others, and a short question would wait behind a document that
-// takes a minute to read.
+// million-token prompts among short ones. Without it a queue would grow until
+// everything in it misses its deadline, one team's backlog would delay all
+// others, and a short question would wait behind a document that takes a minute
+// to read.
 //
 // Requests are grouped into bands by prompt length. Bands share the upstreams
 // by weighted fair queueing, counted in tokens. Within a band, teams are served
