--- a/library/folder/reader.go
+++ b/library/folder/reader.go
@@ -5,7 +5,7 @@
 // ErrLogTruncated is the class of errors about a log that ends before the last
 // record that was read. Its records would otherwise be mistaken for later ones
 // than those read before.
-var ErrLogTruncated = errs.Class("log truncated")
+var ErrLogTruncated = errs.Class("log went back")
 
 // A Batch is the response to a read of the log. Start is the first offset that
 // the log still keeps, End the offset that the next record will get, and
@@ -86,7 +86,7 @@
 		return nil, nil
 	}
 	if r.state != nil && b.End <= r.state.LastOffset {
-		return nil, ErrLogTruncated.New("its next offset is %d, but offset %d was already read", b.End, r.state.LastOffset)
+		return nil, ErrLogTruncated.New("it ends at %d, and %d has been read", b.End, r.state.LastOffset)
 	}
 	if r.state == nil || b.Start > r.state.LastOffset+1 {
 		return r.searchState(b), nil
