--- a/entry/request/placer/placer.go
+++ b/entry/request/placer/placer.go
@@ -54,7 +54,8 @@
 	Load     Load
 	Slots    int
 	// Quota is how many requests may be sent there now; it is small during a
-	// cold start. Unreachable says that connections to it have just failed.
+	// cold start. Unreachable says that connections to it have just failed or
+	// that the requesting VM cannot connect to it.
 	Quota       int
 	Cold        bool
 	Unreachable bool
--- a/entry/request/ranker/ranker_test.go
+++ b/entry/request/ranker/ranker_test.go
@@ -54,7 +54,8 @@
 			i := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				// One VM gets 85 requests a second at the target number of users.
+				// At the fleet's target size, 28,000 requests a second over 330 VMs, one VM
+				// gets 85 a second.
 				now = now.Add(time.Second / 85)
 				i++
 				r.Record(now, names[i%teams], 1, 1000)
--- a/entry/version/follower/duty.go
+++ b/entry/version/follower/duty.go
@@ -74,9 +74,9 @@
 }
 
 // CheckpointDue reports whether a checkpoint should be written: the last one is
-// unknown, a quarter of the retention old, or folder.Window records back, which is
-// where a starting VM first looks. If none is written for the whole retention, VMs
-// that start later find no configuration and don't become ready.
+// unknown, a quarter of the retention old, or folder.CheckpointWindow records back,
+// which is where a starting VM searches first. If none is written for the whole
+// retention, VMs that start later find no configuration and don't become ready.
 func (f *Follower) CheckpointDue(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
