--- a/entry/process/allocator/answer.go
+++ b/entry/process/allocator/answer.go
@@ -88,13 +88,13 @@
 	}
 	delete(a.requests, o.id)
 	p := &Placement{
-		Upstream: a.resolveUpstream(w.Main), Estimate: float64(w.Estimate), Leader: vm, Waits: decodeWaitTimes(w.Waits), leaderAddress: from,
+		Upstream: a.resolveUpstream(w.Main), Estimate: float64(w.Estimate), Leader: vm, WaitTimes: decodeWaitTimes(w.Waits), leaderAddress: from,
 		Load: placer.Load{Streams: w.Streams, ContextTokens: w.ContextTokens, PendingPrefill: float64(w.PendingPrefill)},
 		workload: scheduler.Workload{
 			Prompt: o.spec.Requirements.Prompt, Output: o.spec.Requirements.Output, MaxPause: o.spec.Requirements.MaxPause, Prefill: float64(w.Prefill), Long: w.Long, Main: w.Main.ID,
 		},
 	}
-	p.Waits.AddRemainder(now.Sub(o.submitted))
+	p.WaitTimes.AddRemainder(now.Sub(o.submitted))
 	a.typicalLoad.add(p.Load, o.spec.Requirements)
 	for _, h := range w.Helpers {
 		p.Helpers = append(p.Helpers, scheduler.Helper{Upstream: a.resolveUpstream(h), ReservedTokens: h.ReservedTokens})
--- a/entry/process/allocator/asker.go
+++ b/entry/process/allocator/asker.go
@@ -203,7 +203,7 @@
 			return
 		}
 		a.deliver(now, o, &Placement{
-			Upstream: g.Upstream.Upstream, Helpers: g.Helpers, Estimate: g.Estimate, Load: g.Load, Waits: g.WaitTimes,
+			Upstream: g.Upstream.Upstream, Helpers: g.Helpers, Estimate: g.Estimate, Load: g.Load, WaitTimes: g.WaitTimes,
 			workload: g.Workload, grant: g,
 		})
 	})
--- a/entry/process/allocator/place.go
+++ b/entry/process/allocator/place.go
@@ -18,8 +18,8 @@
 	// Load the load of the upstream when it was chosen.
 	Estimate float64
 	Load     placer.Load
-	// Waits is how long the request waited, by reason.
-	Waits scheduler.WaitTimes
+	// WaitTimes is how long the request waited, by reason.
+	WaitTimes scheduler.WaitTimes
 	// Leader is the VM that granted the placement; empty if this VM did.
 	Leader string
 
--- a/entry/request/relayer/attempt.go
+++ b/entry/request/relayer/attempt.go
@@ -138,7 +138,7 @@
 		j.log.waits = refused.WaitTimes
 		return nil, refuser.New(http.StatusServiceUnavailable, refused.Code, "no upstream could answer it in time").WithRetryAfter(refused.RetryAfter)
 	}
-	j.log.waits = grant.Waits
+	j.log.waits = grant.WaitTimes
 	a := &attempt{grant: grant}
 	if after, held := r.deps.Quarantine.Held(j.fingerprint); held {
 		a.close()
