--- a/entry/connection/acceptor/acceptor.go
+++ b/entry/connection/acceptor/acceptor.go
@@ -29,7 +29,7 @@
 	// values.
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = 30 * time.Second
-	// idleGrace is added to the idle timeout that callers are told, so that a caller that
+	// idleGrace is added to the idle timeout announced to callers, so that a caller that
 	// reuses its connection at the last moment does not find it closed.
 	idleGrace = time.Second
 	// maxQueued is the maximum number of accepted connections queued for a server.
--- a/entry/process/allocator/allocator_test.go
+++ b/entry/process/allocator/allocator_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// Datagrams pass in one direction only: the leader can be heard but receives
-// nothing. Its heartbeats still arrive, so without a timeout every request
-// would wait for it.
+// Datagrams pass in one direction only: the leader sends but receives nothing.
+// Its heartbeats still arrive, so without a timeout every request would wait
+// for it.
 func TestUnreachableLeaderIsSkipped(t *testing.T) {
 	n := newNetwork(t, []string{"z", "z", "z"}, 4)
 	n.blocked[[2]int{2, 0}] = true
--- a/entry/process/allocator/leader.go
+++ b/entry/process/allocator/leader.go
@@ -337,8 +337,8 @@
 	}
 	service, ok := a.deps.Service(w.Group.Service)
 	if (!ok || a.deps.Tracker.Outdated()) && now.Sub(a.startedAt) < startupGrace {
-		// The VM will resend the request shortly. If it were told that this VM
-		// does not lead, the VMs that start at the same time would each use
+		// The VM will resend the request shortly. If it were informed that this
+		// VM does not lead, the VMs that start at the same time would each use
 		// another leader for the next second.
 		return
 	}
--- a/entry/process/allocator/place.go
+++ b/entry/process/allocator/place.go
@@ -130,9 +130,9 @@
 // this VM holds, as single reports may be lost.
 const reportInterval = 500 * time.Millisecond
 
-// emptyReports is how often a leader is told that this VM holds no placements
-// any more. A single report may be lost, and a placement that the leader has
-// only just recorded is not released by the first.
+// emptyReports is how often this VM reports to a leader that it holds no
+// placements any more. A single report may be lost, and a placement that the
+// leader has only just recorded is not released by the first.
 const emptyReports = 3
 
 // reportPlacements sends the leaders the list of all placements.
--- a/entry/process/budgeter/budgeter.go
+++ b/entry/process/budgeter/budgeter.go
@@ -239,7 +239,7 @@
 }
 
 // AssumedVMs returns the names of the n VMs that a process assumes to be live,
-// itself included, before it has heard from the others.
+// itself included, before it has received messages from the others.
 func AssumedVMs(vm string, n int) []string {
 	vms := []string{vm}
 	for i := 1; i < n; i++ {
--- a/entry/process/deduplicator/deduplicator_test.go
+++ b/entry/process/deduplicator/deduplicator_test.go
@@ -278,7 +278,7 @@
 }
 
 // A VM is frozen between the decision and the send. By the time it resumes the caller
-// has been told that the call failed, so the booking must not be made.
+// has been informed that the call failed, so the booking must not be made.
 func TestTicketExpires(t *testing.T) {
 	free := call("booking 1")
 	free.Timestamped = false
--- a/entry/process/deduplicator/ledger.go
+++ b/entry/process/deduplicator/ledger.go
@@ -39,7 +39,7 @@
 	// lost are attempts that were decided and do not hold the key: those whose
 	// intent was not the first, and those that were abandoned. An append whose
 	// response was lost may take effect late or twice, and an attempt must not win
-	// long after its VM has told its caller that nothing ran.
+	// long after its VM has reported to its caller that nothing ran.
 	lost []recorder.Attempt
 }
 
@@ -161,8 +161,8 @@
 }
 
 // applyIntent lets the first intent win. A later one is lost at once: it does not
-// win when the first is abandoned, because its VM may have told its caller by then
-// that nothing ran.
+// win when the first is abandoned, because its VM may have reported to its caller
+// by then that nothing ran.
 func (l *Ledger) applyIntent(e *entry, c recorder.CallEntry) {
 	switch {
 	case slices.Contains(e.lost, c.Attempt) || (e.claimed && e.winner == c.Attempt):
--- a/entry/process/gauger/gauger.go
+++ b/entry/process/gauger/gauger.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// minSpeed is the lowest speed: lower ones cannot be told from an engine
-	// that has stopped.
+	// minSpeed is the lowest speed: lower ones cannot be distinguished from
+	// an engine that has stopped.
 	minSpeed = 0.01
 	// slowerWeight is the weight of a new measurement below the current speed.
 	// Two slow responses take an engine from 1 to 0.3.
--- a/entry/process/gossiper/relay.go
+++ b/entry/process/gossiper/relay.go
@@ -21,7 +21,7 @@
 }
 
 // isLive reports whether a VM is live as far as is known. A VM that is known only by name
-// counts as heard from at the time when it became known.
+// counts as last known to be alive when its name became known.
 func (g *Gossiper) isLive(now time.Time, p *peer) bool {
 	return now.Sub(later(p.heardAt, p.knownSince)) <= g.allowedSilence(p, now)
 }
--- a/entry/process/quarantiner/ledger.go
+++ b/entry/process/quarantiner/ledger.go
@@ -33,8 +33,8 @@
 	// maxEntries bounds a ledger.
 	maxEntries = 4096
 	// arrivalStep is how much later than the last known arrival a held request must
-	// arrive for other VMs to be told: it arrives many times a second, and is held
-	// for minutes.
+	// arrive for other VMs to be informed: it arrives many times a second, and is
+	// held for minutes.
 	arrivalStep = holdTTL / 10
 	// maxSends is how often a change is sent to other VMs, as datagrams get lost.
 	maxSends = 3
@@ -70,7 +70,7 @@
 	local     bool
 	sendsLeft int
 	// lifted reports whether the request was held until it was served: a VM that
-	// has not heard of that keeps sending that it is held.
+	// has not learned of that keeps sending that it is held.
 	lifted bool
 }
 
--- a/entry/process/replicator/silence_test.go
+++ b/entry/process/replicator/silence_test.go
@@ -40,8 +40,8 @@
 	assert.DeepEqual(t, gaps, []time.Duration{0, 4 * time.Second, 0})
 }
 
-// A copy's lag counts what the platform has since told other VMs, and not the time
-// during which it answered no VM.
+// A copy's lag counts what the platform has since confirmed to other VMs, and not
+// the time during which it answered no VM.
 func TestLagIsMeasuredFromAnswersToOtherVMs(t *testing.T) {
 	c := replicator.New(func([]replicator.Record, time.Duration) {})
 	c.RecordAnswer(now)
--- a/entry/process/scheduler/scheduler_test.go
+++ b/entry/process/scheduler/scheduler_test.go
@@ -132,7 +132,7 @@
 }
 
 // All slots are taken while the time of a queued request runs out. Its caller must
-// be told at that moment, not at the deadline.
+// be informed at that moment, not at the deadline.
 func TestRequestThatCannotFinishInTimeIsRefusedImmediately(t *testing.T) {
 	f := newFleet(1)
 	for range 2 {
@@ -286,9 +286,9 @@
 }
 
 // An engine fails every request at once, while its health check passes and it has
-// no load, so that it looks the best. Failures that other VMs have reported must
-// count against it. A request must also avoid an upstream that its VM cannot connect
-// to.
+// no load, so that it seems to be the best choice. Failures that other VMs have
+// reported must count against it. A request must also avoid an upstream that its VM
+// cannot connect to.
 func TestFailuresFoundByOtherVMsCount(t *testing.T) {
 	f := newFleet(2)
 	for range 3 {
--- a/entry/process/syncer/syncer.go
+++ b/entry/process/syncer/syncer.go
@@ -68,16 +68,16 @@
 type Peers interface {
 	// ReadRole returns whether this VM reads the platform for others, stands by or
 	// follows. ShouldReadAtStart reports whether it reads right after its start if
-	// none of the VMs that it hears from will.
+	// none of the VMs from which it receives messages will.
 	ReadRole() gossiper.ReadRole
 	ShouldReadAtStart() bool
 	// PublishOffsets tells the other VMs immediately how far this one has read.
 	PublishOffsets()
 	// LastConfirmed returns when the platform last confirmed any offset of a stream
-	// to a VM that this one hears from.
+	// to a VM from which this one receives messages.
 	LastConfirmed(stream string) time.Time
-	// ConfirmedAt returns when a VM was last told that a stream has no records beyond
-	// an offset, or the zero time if none was.
+	// ConfirmedAt returns when the platform last confirmed to a VM that a stream has
+	// no records beyond an offset, or the zero time if none was.
 	ConfirmedAt(stream string, offset int64) time.Time
 	// MostAdvancedPeer returns the address of a VM that has read further than an
 	// offset.
--- a/entry/process/tracker/tracker.go
+++ b/entry/process/tracker/tracker.go
@@ -330,7 +330,7 @@
 // with, while the upstream that took the request gets the blame.
 //
 // Another VM may have had responses from an upstream that shows no activity here. The
-// listener is therefore told of all the upstreams, and each VM that it informs
+// listener is therefore notified of all the upstreams, and each VM that it informs
 // decides for itself.
 func (t *Tracker) ReportStall(now, since time.Time, ids []string) (blamed []string) {
 	for _, id := range ids {
--- a/entry/process/tracker/tracker_test.go
+++ b/entry/process/tracker/tracker_test.go
@@ -163,9 +163,9 @@
 }
 
 // One VM finds out that an upstream fails requests, has crashed, is cold or was
-// replaced by another process. VMs that schedule requests for other VMs must be told,
-// or each VM finds out by a failed request of its own. They must not pass it on in
-// turn, or VMs would keep repeating each other's reports.
+// replaced by another process. VMs that schedule requests for other VMs must be
+// informed, or each VM finds out by a failed request of its own. They must not pass it
+// on in turn, or VMs would keep repeating each other's reports.
 func TestFindingsReachOtherVMs(t *testing.T) {
 	asker, leader := tracker.New(), tracker.New()
 	for _, tr := range []*tracker.Tracker{asker, leader} {
@@ -193,9 +193,9 @@
 	assert.Equal(t, notified, 0)
 }
 
-// Work that needs several engines makes no progress, and this VM has heard from none
-// of them. Another VM has had responses from one of them, which is alive and must not
-// be blamed.
+// Work that needs several engines makes no progress, and this VM has seen no
+// activity of any of them. Another VM has had responses from one of them, which is
+// alive and must not be blamed.
 func TestAnswersToOtherVMsCountAsActivity(t *testing.T) {
 	asker, leader := tracker.New(), tracker.New()
 	for _, tr := range []*tracker.Tracker{asker, leader} {
--- a/entry/request/placer/group.go
+++ b/entry/request/placer/group.go
@@ -127,8 +127,8 @@
 
 // leavesHeadroom reports whether a placement leaves enough free slots for short
 // prompts at engines that prefill no parts. In a burst the number of short prompts
-// doubles within a second or two, and an engine that a late prompt has taken in the
-// meantime makes many of them late.
+// doubles within a second or two, and an engine that a late prompt has occupied in
+// the meantime makes many of them late.
 func leavesHeadroom(cs []Candidate, placement Placement) bool {
 	running, free := 0, 0
 	for i := range cs {
