--- a/entry/request/relayer/relayer.go
+++ b/entry/request/relayer/relayer.go
@@ -78,7 +78,7 @@
 	Address, Reservation string
 }
 
-// A ForwardInfo is what an upstream is told in addition to the caller's headers.
+// A ForwardInfo is what is sent to an upstream in addition to the caller's headers.
 type ForwardInfo struct {
 	TimeLeft    time.Duration
 	Upstream    string
