--- a/entry/request/admitter/estimate.go
+++ b/entry/request/admitter/estimate.go
@@ -103,7 +103,7 @@
 // costOfOtherBands returns the cost that the other bands are served while the
 // request's band is served the given cost. A band whose first request would
 // finish later than that goes after this request, however far it is behind in
-// virtual time. A blocked band keeps its claim to the next free place, but the
+// virtual time. A blocked band keeps its claim to the next free slot, but the
 // service it has missed so far does not count as work ahead of this request: it
 // waits for something else, such as memory, and other requests pass it in the
 // meantime.
--- a/entry/request/router/load_test.go
+++ b/entry/request/router/load_test.go
@@ -176,7 +176,7 @@
 
 // A burst of five times the fleet's capacity arrives for three seconds. Guards
 // against admitted requests that are never answered in time, and against retries
-// that are rejected again although the caller waited as told.
+// that are rejected again although the caller waited for the time it was given.
 func TestBurst(t *testing.T) {
 	t.Parallel()
 	const span = 90 * time.Second
