--- a/entry/process/drainer/drainer_test.go
+++ b/entry/process/drainer/drainer_test.go
@@ -69,23 +69,23 @@
 func TestResumeKeepsRunningCount(t *testing.T) {
 	g := newBlockingHandler()
 	d := drainer.New(g, 10)
-	answers := []<-chan int{g.start(d)}
+	statuses := []<-chan int{g.start(d)}
 	for range 2 {
 		d.StopAccepting("it is out of service")
 		assert.Equal(t, send(d).Code, http.StatusServiceUnavailable)
 		d.Resume()
-		answers = append(answers, g.start(d))
+		statuses = append(statuses, g.start(d))
 	}
 	d.StopAccepting("it is leaving")
-	assert.Equal(t, d.Running(), len(answers))
+	assert.Equal(t, d.Running(), len(statuses))
 	waited := make(chan error, 1)
 	go func() { waited <- d.Wait(t.Context()) }()
-	for range answers {
+	for range statuses {
 		assert.Equal(t, len(waited), 0, "Wait returned while a request was running")
 		g.release <- struct{}{}
 	}
 	assert.NilError(t, <-waited)
-	for _, a := range answers {
+	for _, a := range statuses {
 		assert.Equal(t, <-a, http.StatusAccepted)
 	}
 }
--- a/entry/process/gauger/gauger.go
+++ b/entry/process/gauger/gauger.go
@@ -56,33 +56,33 @@
 	return &SpeedEstimator{speeds: map[string]measurement{}}
 }
 
-// Observe records a response: the upstream took the given time for the given
-// number of tokens, and advertises promised tokens per second. For a first
+// Observe records a response: the upstream took the elapsed time for the given
+// number of tokens, and advertises so many tokens per second. For a first
 // token, tokens counts all prompt tokens that were queued before it at the
-// upstream; for later tokens, it counts those of one stream, and promised is
+// upstream; for later tokens, it counts those of one stream, and advertised is
 // the decode rate.
-func (g *SpeedEstimator) Observe(now time.Time, name string, tokens int, took time.Duration, promised float64) {
-	if tokens <= 0 || promised <= 0 {
+func (g *SpeedEstimator) Observe(now time.Time, name string, tokens int, elapsed time.Duration, advertised float64) {
+	if tokens <= 0 || advertised <= 0 {
 		return
 	}
-	value := g.Speed(now, name)
-	ratio := measuredSpeed(tokens, took, promised)
+	current := g.Speed(now, name)
+	measured := measuredSpeed(tokens, elapsed, advertised)
 	weight := fasterWeight
-	if ratio < value {
+	if measured < current {
 		weight = slowerWeight
 	}
-	g.speeds[name] = measurement{speed: value + weight*(ratio-value), at: now}
+	g.speeds[name] = measurement{speed: current + weight*(measured-current), at: now}
 }
 
-// ObservePending records a response that has not arrived after the given time.
-// Without it, an engine that does not respond would count as fast until its
-// first response.
-func (g *SpeedEstimator) ObservePending(now time.Time, name string, tokens int, since time.Duration, promised float64) {
-	if tokens <= 0 || promised <= 0 {
+// ObservePending records a response that has not arrived after the elapsed
+// time. Without it, an engine that does not respond would count as fast until
+// its first response.
+func (g *SpeedEstimator) ObservePending(now time.Time, name string, tokens int, elapsed time.Duration, advertised float64) {
+	if tokens <= 0 || advertised <= 0 {
 		return
 	}
-	if ratio := measuredSpeed(tokens, since, promised); ratio < g.Speed(now, name) {
-		g.speeds[name] = measurement{speed: ratio, at: now}
+	if measured := measuredSpeed(tokens, elapsed, advertised); measured < g.Speed(now, name) {
+		g.speeds[name] = measurement{speed: measured, at: now}
 	}
 }
 
@@ -94,8 +94,8 @@
 	if !ok {
 		return 1
 	}
-	doubled := max(0, now.Sub(s.at).Seconds()) / recoveryDoubling.Seconds()
-	return min(1, s.speed*math.Exp2(doubled))
+	doublings := max(0, now.Sub(s.at).Seconds()) / recoveryDoubling.Seconds()
+	return min(1, s.speed*math.Exp2(doublings))
 }
 
 // Forget removes an upstream that no longer exists.
@@ -113,9 +113,9 @@
 
 // measuredSpeed returns the speed that one measurement shows, from minSpeed to
 // 1.
-func measuredSpeed(tokens int, took time.Duration, promised float64) float64 {
-	expected := float64(tokens) / promised
-	adjusted := took.Seconds() - grace.Seconds()
+func measuredSpeed(tokens int, elapsed time.Duration, advertised float64) float64 {
+	expected := float64(tokens) / advertised
+	adjusted := elapsed.Seconds() - grace.Seconds()
 	if adjusted <= expected {
 		return 1
 	}
--- a/entry/process/server/orders.go
+++ b/entry/process/server/orders.go
@@ -132,14 +132,14 @@
 }
 
 func (v *Server) readReport(ctx context.Context, f *orderer.Observation) {
-	began := time.Now()
+	start := time.Now()
 	var report loadReport
 	status, err := v.engineCall(ctx, sling.New().Get("http://"+f.Address+"/v1/load"), &report)
 	if err != nil || status != http.StatusOK {
 		v.meter.Count("orders.unread", 1)
 		return
 	}
-	f.ReadAt, f.Requests = began, report.Running+report.Waiting
+	f.ReadAt, f.Requests = start, report.Running+report.Waiting
 	f.ReportedModel, f.ReportedVersion = report.Model, report.Version
 }
 
--- a/entry/process/setter/checks.go
+++ b/entry/process/setter/checks.go
@@ -133,7 +133,7 @@
 
 // unreadableFiles reports the files named in the settings that cannot be read.
 func (s *Settings) unreadableFiles() finder.Findings {
-	var found finder.Findings
+	var findings finder.Findings
 	paths := s.filePaths()
 	for _, place := range slices.Sorted(maps.Keys(paths)) {
 		path := *paths[place]
@@ -142,10 +142,10 @@
 		}
 		f, err := os.Open(path)
 		if err != nil {
-			found.Addf(place, "cannot be read: %v", err)
+			findings.Addf(place, "cannot be read: %v", err)
 			continue
 		}
 		f.Close()
 	}
-	return found
+	return findings
 }
--- a/entry/process/setter/setter.go
+++ b/entry/process/setter/setter.go
@@ -33,7 +33,8 @@
 
 // Callers configures the listener for callers.
 type Callers struct {
-	// Address is the IP number and port to listen on; port 0 takes any.
+	// Address is the IP address and port to listen on; port 0 takes any
+	// free port.
 	Address string `toml:"address"`
 	// Certificate and Key are PEM files. Without both, callers are served
 	// without TLS.
@@ -43,9 +44,10 @@
 
 // Peers configures the listener for the other VMs.
 type Peers struct {
-	// Address is the IP number and port to listen on; port 0 takes any.
+	// Address is the IP address and port to listen on; port 0 takes any
+	// free port.
 	Address string `toml:"address"`
-	// Secret is the shared secret by which VMs authenticate to each other.
+	// Secret is the shared secret that VMs prove to each other that they know.
 	Secret string `toml:"secret"`
 	// Certificate and Key are PEM files, as in Callers.
 	Certificate string `toml:"certificate"`
@@ -57,7 +59,8 @@
 
 // Watch configures the listener for health checks and metrics scrapers.
 type Watch struct {
-	// Address is the IP number and port to listen on; port 0 takes any.
+	// Address is the IP address and port to listen on; port 0 takes any
+	// free port.
 	Address string `toml:"address"`
 }
 
--- a/entry/process/setter/setter_test.go
+++ b/entry/process/setter/setter_test.go
@@ -54,9 +54,9 @@
 	} {
 		text := example(t)
 		assert.Assert(t, strings.Contains(text, c.old), c.old)
-		_, found := setter.Parse([]byte(strings.Replace(text, c.old, c.new, 1)))
-		assert.ErrorContains(t, found.Err(), c.want)
-		assert.Assert(t, !strings.Contains(found.Err().Error(), "hush-hush"), "the error contains the secret")
+		_, findings := setter.Parse([]byte(strings.Replace(text, c.old, c.new, 1)))
+		assert.ErrorContains(t, findings.Err(), c.want)
+		assert.Assert(t, !strings.Contains(findings.Err().Error(), "hush-hush"), "the error contains the secret")
 	}
 }
 
@@ -87,9 +87,9 @@
 	f.Add([]byte(example(f)))
 	f.Add([]byte("limits = 5\n[peers]\nsecret = 1979-05-27\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s, found := setter.Parse(data)
-		again, foundAgain := setter.Parse(data)
+		s, findings := setter.Parse(data)
+		again, findingsAgain := setter.Parse(data)
 		assert.DeepEqual(t, s, again)
-		assert.DeepEqual(t, found, foundAgain)
+		assert.DeepEqual(t, findings, findingsAgain)
 	})
 }
--- a/entry/process/splitter/splitter.go
+++ b/entry/process/splitter/splitter.go
@@ -64,7 +64,7 @@
 // A Splitter holds the number of reserved engines of one model. It is not safe
 // for concurrent use.
 type Splitter struct {
-	conf       Config
+	config     Config
 	lastUpdate time.Time
 	// short and long are moving averages that start at 0. warmUp, from 0 to 1,
 	// is how far they have converged from that start.
@@ -84,7 +84,7 @@
 	c.ShrinkThreshold = cmp.Or(c.ShrinkThreshold, 1.25)
 	c.GrowDelay = cmp.Or(c.GrowDelay, 5*time.Second)
 	c.ShrinkDelay = cmp.Or(c.ShrinkDelay, time.Minute)
-	return &Splitter{conf: c}
+	return &Splitter{config: c}
 }
 
 // Update records the current load and returns the number of engines to reserve.
@@ -93,12 +93,12 @@
 	limit := max(0, l.Engines-1)
 	desired := s.desired(l.Engines)
 	s.aboveSince = trueSince(s.aboveSince, now, desired > s.threshold())
-	s.belowSince = trueSince(s.belowSince, now, desired < float64(s.reserved)-s.conf.ShrinkThreshold || (s.reserved > 0 && desired < releaseThreshold))
+	s.belowSince = trueSince(s.belowSince, now, desired < float64(s.reserved)-s.config.ShrinkThreshold || (s.reserved > 0 && desired < releaseThreshold))
 	switch {
-	case !s.aboveSince.IsZero() && now.Sub(s.aboveSince) >= s.conf.GrowDelay:
+	case !s.aboveSince.IsZero() && now.Sub(s.aboveSince) >= s.config.GrowDelay:
 		s.reserved += stepSize(desired - float64(s.reserved))
 		s.aboveSince = time.Time{}
-	case !s.belowSince.IsZero() && now.Sub(s.belowSince) >= s.conf.ShrinkDelay:
+	case !s.belowSince.IsZero() && now.Sub(s.belowSince) >= s.config.ShrinkDelay:
 		s.reserved -= stepSize(float64(s.reserved) - desired)
 		s.belowSince = time.Time{}
 	}
@@ -113,14 +113,14 @@
 	if s.reserved == 0 {
 		return firstThreshold
 	}
-	return float64(s.reserved) + s.conf.GrowThreshold
+	return float64(s.reserved) + s.config.GrowThreshold
 }
 
 // desired returns the long prompts' share of the engines, not rounded. It is
 // scaled down during warm-up: one long prompt in the first seconds is weak
 // evidence, and the short prompts would miss the engines reserved for it.
 func (s *Splitter) desired(engines int) float64 {
-	sum := s.conf.ShortTokenWeight*s.short + s.long
+	sum := s.config.ShortTokenWeight*s.short + s.long
 	if sum <= 0 {
 		return 0
 	}
@@ -130,7 +130,7 @@
 // smooth updates the moving averages with the current load.
 func (s *Splitter) smooth(now time.Time, l Load) {
 	if !s.lastUpdate.IsZero() {
-		weight := 1 - math.Exp(-now.Sub(s.lastUpdate).Seconds()/s.conf.SmoothingTime.Seconds())
+		weight := 1 - math.Exp(-now.Sub(s.lastUpdate).Seconds()/s.config.SmoothingTime.Seconds())
 		s.short += weight * (l.ShortTokens - s.short)
 		s.long += weight * (l.LongTokens - s.long)
 		s.warmUp += weight * (1 - s.warmUp)
@@ -139,8 +139,8 @@
 }
 
 // stepSize returns half of the difference, but at least one engine.
-func stepSize(gap float64) int {
-	return max(1, int(gap/2))
+func stepSize(difference float64) int {
+	return max(1, int(difference/2))
 }
 
 // trueSince returns the time since which a condition has held, or the zero time
